--- a/cmd/edgenode/main.go
+++ b/cmd/edgenode/main.go
@@ -136,7 +136,7 @@
 	if err != nil {
 		return bad(err)
 	}
-	if set.Family.Counter && f.Counter == "" {
+	if set.Service.CounterEnabled && f.Counter == "" {
 		return bad(errors.New("counter is missing"))
 	}
 	for name, addr := range map[string]string{"listen": f.Listen, "discovery": f.Discovery, "counter": f.Counter} {
@@ -144,7 +144,7 @@
 			return bad(fmt.Errorf("%s: %w", name, err))
 		}
 	}
-	if _, err := policy.New(0, set.Logic(seed)); err != nil {
+	if _, err := policy.New(0, set.Policy(seed)); err != nil {
 		return bad(fmt.Errorf("settings: %w", err))
 	}
 	return edge.Config{Listen: f.Listen, Discovery: f.Discovery, Counter: f.Counter, Seed: seed,
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -24,7 +24,7 @@
 type host struct {
 	now     policy.Time
 	nodes   map[int]*policy.Gateway
-	pages   map[int][]policy.Server
+	pages   map[int][]policy.Endpoint
 	actions []policy.Action
 	reply   []byte
 }
@@ -33,7 +33,7 @@
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriterSize(out, 1<<20)
-	h := &host{nodes: map[int]*policy.Gateway{}, pages: map[int][]policy.Server{}}
+	h := &host{nodes: map[int]*policy.Gateway{}, pages: map[int][]policy.Endpoint{}}
 	open, n := false, 0
 	for {
 		text, err := r.ReadBytes('\n')
@@ -140,9 +140,9 @@
 		if !ok {
 			return nil, fmt.Errorf("unknown scope %q", l.Scope)
 		}
-		ev := policy.ServersChanged{Scope: scope}
-		if scope != policy.ListError {
-			if ev.Servers, ok = h.pages[l.Page]; !ok {
+		ev := policy.EndpointsUpdated{Scope: scope}
+		if scope != policy.FailedUpdate {
+			if ev.Endpoints, ok = h.pages[l.Page]; !ok {
 				return nil, fmt.Errorf("page %d was never listed", l.Page)
 			}
 		}
@@ -151,24 +151,24 @@
 		if l.XID == "" || l.TTL < 0 || l.Units < 0 {
 			return nil, fmt.Errorf("no xid, or negative ttl or quotaUnits")
 		}
-		return policy.Arrived{ID: l.XID, Class: l.Priority, Plan: l.Terms, Customer: l.Account,
-			Patience: l.TTL, Units: l.Units, Spread: int(l.Spread), Repeat: l.IsRetry}, nil
+		return policy.RequestReceived{RequestID: l.XID, Class: l.Priority, Plan: l.Terms, Tenant: l.Account,
+			Timeout: l.TTL, Units: l.Units, TenantGateways: int(l.Spread), IsRetry: l.IsRetry}, nil
 	case "Response":
 		outcome, err := l.outcome()
-		return policy.Ended{ID: l.XID, Attempt: l.Hop, Server: l.Server, Outcome: outcome, Lag: l.Lag,
-			Over: l.Terminal, TrueUnits: l.TrueUnits, Metered: l.Metered, Report: l.report()}, err
+		return policy.AttemptEnded{RequestID: l.XID, Attempt: l.Hop, Endpoint: l.Server, Outcome: outcome, Latency: l.Lag,
+			RequestDone: l.Terminal, ActualUnits: l.TrueUnits, RateUsed: l.Metered, Report: l.report()}, err
 	case "HeadReceived":
-		return policy.Streaming{ID: l.XID, Attempt: l.Hop, Server: l.Server, Lag: l.Lag}, nil
+		return policy.ResponseStarted{RequestID: l.XID, Attempt: l.Hop, Endpoint: l.Server, Latency: l.Lag}, nil
 	case "Sampled":
 		outcome, err := l.outcome()
-		return policy.Probed{Server: l.Server, Outcome: outcome, Lag: l.Lag, Report: l.report()}, err
+		return policy.HealthCheckDone{Endpoint: l.Server, Outcome: outcome, Latency: l.Lag, Report: l.report()}, err
 	case "ClientLeft":
-		return policy.Left{ID: l.XID}, nil
+		return policy.ClientDisconnected{RequestID: l.XID}, nil
 	case "Reminder":
-		return policy.Woke{Cookie: l.Cookie}, nil
+		return policy.TimerFired{TimerID: l.Cookie}, nil
 	case "Sum":
 		outcome, err := l.outcome()
-		return policy.Counted{Name: l.EntryName, Outcome: outcome, Total: l.Reading}, err
+		return policy.CounterReplied{Key: l.EntryName, Outcome: outcome, Total: l.Reading}, err
 	case "PeerData": // the module never talks to its peers
 		return nil, nil
 	}
@@ -179,22 +179,22 @@
 func encode(b []byte, node int, a policy.Action) ([]byte, error) {
 	o := reply{NodeID: node}
 	switch a := a.(type) {
-	case policy.Send:
-		o.Msg, o.XID, o.Server, o.TryFor = "Dispatch", a.ID, a.Server, a.Timeout
-	case policy.Cancel:
-		o.Msg, o.XID, o.Hop = "Cancel", a.ID, &a.Attempt
-	case policy.Refuse:
-		o.Msg, o.XID, o.HoldOff = "Busy", a.ID, a.HoldOff
+	case policy.StartAttempt:
+		o.Msg, o.XID, o.Server, o.TryFor = "Dispatch", a.RequestID, a.Endpoint, a.Timeout
+	case policy.CancelAttempt:
+		o.Msg, o.XID, o.Hop = "Cancel", a.RequestID, &a.Attempt
+	case policy.Reject:
+		o.Msg, o.XID, o.HoldOff = "Busy", a.RequestID, a.RetryAfter
 	case policy.Fail:
-		o.Msg, o.XID = "DropRequest", a.ID
-	case policy.Count:
-		o.Msg, o.EntryName, o.Qty, o.Lives = "Tally", &a.Name, &a.Units, a.Lives
-	case policy.Wake:
+		o.Msg, o.XID = "DropRequest", a.RequestID
+	case policy.AddToCounter:
+		o.Msg, o.EntryName, o.Qty, o.Lives = "Tally", &a.Key, &a.Units, a.TTL
+	case policy.StartTimer:
 		span := a.After
-		o.Msg, o.Span, o.Cookie = "SetTimer", &span, &a.Cookie
-	case policy.Probe:
-		o.Msg, o.Server = "Probe", a.Server
-	case policy.Subscribe:
+		o.Msg, o.Span, o.Cookie = "SetTimer", &span, &a.TimerID
+	case policy.CheckHealth:
+		o.Msg, o.Server = "Probe", a.Endpoint
+	case policy.WatchEndpoints:
 		on := true
 		o.Msg, o.Enable = "Tail", &on
 	default:
--- a/cmd/simadapter/wire.go
+++ b/cmd/simadapter/wire.go
@@ -57,13 +57,13 @@
 }
 
 var (
-	scopes = map[string]policy.ListScope{"Partial": policy.ListPartial, "Complete": policy.ListComplete,
-		"Persisted": policy.ListOld, "Error": policy.ListError}
-	states = map[string]policy.ServerState{"SERVING": policy.Serving, "DRAINING": policy.Draining,
-		"DELETED": policy.Deleted}
-	outcomes = map[string]policy.Outcome{"pass": policy.Pass, "fault": policy.Fault, "no_room": policy.Full,
-		"too_slow": policy.TimedOut, "no_route": policy.NoRoute, "cut": policy.Broken, "undone": policy.Undone,
-		"stale_send": policy.Unsent}
+	scopes = map[string]policy.UpdateScope{"Partial": policy.IncrementalUpdate, "Complete": policy.FullUpdate,
+		"Persisted": policy.CachedUpdate, "Error": policy.FailedUpdate}
+	states = map[string]policy.EndpointState{"SERVING": policy.Serving, "DRAINING": policy.Draining,
+		"DELETED": policy.Removed}
+	outcomes = map[string]policy.Outcome{"pass": policy.Succeeded, "fault": policy.ServerError, "no_room": policy.Overloaded,
+		"too_slow": policy.TimedOut, "no_route": policy.ConnectFailed, "cut": policy.ConnectionLost, "undone": policy.Canceled,
+		"stale_send": policy.NotSent}
 )
 
 func (l *line) outcome() (policy.Outcome, error) {
@@ -74,23 +74,23 @@
 	return o, nil
 }
 
-func (l *line) report() policy.Report {
+func (l *line) report() policy.LoadReport {
 	if l.Telemetry == nil {
-		return policy.Report{}
+		return policy.LoadReport{}
 	}
 	t := l.Telemetry
-	return policy.Report{InFlight: t.RIF, Queue: t.Q, Busy: t.Busy, LatencyMS: t.Lat}
+	return policy.LoadReport{InFlight: t.RIF, QueueLength: t.Q, Utilization: t.Busy, LatencyMS: t.Lat}
 }
 
-func (l *line) servers() ([]policy.Server, error) {
-	list := make([]policy.Server, 0, len(l.Rows))
+func (l *line) servers() ([]policy.Endpoint, error) {
+	list := make([]policy.Endpoint, 0, len(l.Rows))
 	for _, r := range l.Rows {
 		state, ok := states[r.State]
 		if !ok || r.Server == "" {
 			return nil, fmt.Errorf("Inventory: server %q in unknown state %q", r.Server, r.State)
 		}
-		list = append(list, policy.Server{ID: r.Server, Zone: r.Zone, Cell: r.Cluster, Weight: r.Nominal,
-			Born: r.Born, State: state})
+		list = append(list, policy.Endpoint{ID: r.Server, Zone: r.Zone, Cell: r.Cluster, Weight: r.Nominal,
+			StartedAt: r.Born, State: state})
 	}
 	return list, nil
 }
@@ -101,5 +101,5 @@
 	if err != nil {
 		return policy.Settings{}, err
 	}
-	return s.Logic(l.Entropy), nil
+	return s.Policy(l.Entropy), nil
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -13,117 +13,117 @@
 // Settings is the settings object; what neither program has a use for is left
 // out. Spans are nanoseconds.
 type Settings struct {
-	Gateways   int           `json:"nInstances"`
-	Rank       int           `json:"rank"`
-	Zone       int           `json:"locality"`
-	Zones      []string      `json:"localities"`
-	Membership string        `json:"membershipMode"`
-	Classes    []Class       `json:"classes"`
-	Plans      []Plan        `json:"tiersOfService"`
-	Contract   Contract      `json:"contract"`
-	Family     Family        `json:"familyInfo"`
-	Limits     Limits        `json:"limits"`
-	Prices     Prices        `json:"prices"`
-	Report     ReportChannel `json:"report"`
+	Gateways      int         `json:"nInstances"`
+	GatewayIndex  int         `json:"rank"`
+	Zone          int         `json:"locality"`
+	Zones         []string    `json:"localities"`
+	DiscoveryMode string      `json:"membershipMode"`
+	Classes       []Class     `json:"classes"`
+	Plans         []Plan      `json:"tiersOfService"`
+	Rules         Rules       `json:"contract"`
+	Service       Service     `json:"familyInfo"`
+	Limits        Limits      `json:"limits"`
+	Costs         Costs       `json:"prices"`
+	LoadReports   LoadReports `json:"report"`
 }
 
 // Class is one kind of request.
 type Class struct {
-	Name      string        `json:"name"`
-	Aim       time.Duration `json:"aim"`
-	Deadline  time.Duration `json:"deadline"`
-	Effect    Effect        `json:"effect"`
-	Group     Group         `json:"group"`
-	LateWorth float64       `json:"lateWorth"`
-	Stream    bool          `json:"stream"`
-	Value     float64       `json:"value"`
-	Window    time.Duration `json:"window"`
+	Name             string        `json:"name"`
+	LatencyObjective time.Duration `json:"aim"`
+	Deadline         time.Duration `json:"deadline"`
+	Idempotency      Idempotency   `json:"effect"`
+	DedupScope       DedupScope    `json:"group"`
+	LateWeight       float64       `json:"lateWorth"`
+	Streaming        bool          `json:"stream"`
+	PriorityWeight   float64       `json:"value"`
+	DedupWindow      time.Duration `json:"window"`
 }
 
 // Plan is what a customer may use.
 type Plan struct {
-	Name          string  `json:"name"`
-	Depth         float64 `json:"depth"`
-	CeilingBurst  float64 `json:"ceilingBurst"`
-	NeverOverRate float64 `json:"neverOverRate"`
-	Tolerance     float64 `json:"tolerance"`
-	Concurrency   int     `json:"concurrency"`
-	ExcessCost    float64 `json:"excessCost"`
-	OverWorth     float64 `json:"overWorth"`
-	WorthFactor   float64 `json:"worthFactor"`
-	Refill        float64 `json:"refill"`
+	Name               string  `json:"name"`
+	Burst              float64 `json:"depth"`
+	HardLimitBurst     float64 `json:"ceilingBurst"`
+	HardLimitRate      float64 `json:"neverOverRate"`
+	HardLimitTolerance float64 `json:"tolerance"`
+	MaxConcurrent      int     `json:"concurrency"`
+	OverQuotaCost      float64 `json:"excessCost"`
+	OverQuotaWeight    float64 `json:"overWorth"`
+	PriorityWeight     float64 `json:"worthFactor"`
+	Rate               float64 `json:"refill"`
 }
 
-// Contract holds the figures of the rules.
-type Contract struct {
-	AskEvery     time.Duration `json:"askEvery"`
-	ColdFrom     float64       `json:"coldFrom"`
-	DrainGrace   time.Duration `json:"drainGrace"`
-	FallMultiple float64       `json:"fallMultiple"`
-	OverloadFor  time.Duration `json:"overloadFor"`
-	WarmUp       time.Duration `json:"warmUp"`
+// Rules holds the figures of the rules.
+type Rules struct {
+	SubscriptionTimeout time.Duration `json:"askEvery"`
+	SlowStartCapacity   float64       `json:"coldFrom"`
+	DrainGrace          time.Duration `json:"drainGrace"`
+	OverloadMultiple    float64       `json:"fallMultiple"`
+	OverloadDuration    time.Duration `json:"overloadFor"`
+	SlowStartDuration   time.Duration `json:"warmUp"`
 }
 
-// Family holds the figures of this kind of service.
-type Family struct {
-	Counter   bool          `json:"counter"`
-	CountWait time.Duration `json:"countWait"`
-	Meter     time.Duration `json:"meter"`
-	MostUnits float64       `json:"mostUnits"`
-	TruedUp   bool          `json:"truedUp"`
+// Service holds the figures of this kind of service.
+type Service struct {
+	CounterEnabled      bool          `json:"counter"`
+	CounterTimeout      time.Duration `json:"countWait"`
+	MeterPeriod         time.Duration `json:"meter"`
+	MaxRequestUnits     float64       `json:"mostUnits"`
+	ActualUnitsReported bool          `json:"truedUp"`
 }
 
 // Limits is what the site permits.
 type Limits struct {
-	Cancel        bool          `json:"cancel"`
-	DialTimeout   time.Duration `json:"dialTimeout"`
-	IdleClose     time.Duration `json:"idleClose"`
-	MaxAttempts   int           `json:"maxAttempts"`
-	MaxRetryAfter time.Duration `json:"maxRetryAfter"`
-	Probes        bool          `json:"probes"`
-	RetryAfter    bool          `json:"retryAfter"`
-	SecondCopies  bool          `json:"secondCopies"`
+	AllowCancel       bool          `json:"cancel"`
+	DialTimeout       time.Duration `json:"dialTimeout"`
+	IdleClose         time.Duration `json:"idleClose"`
+	MaxAttempts       int           `json:"maxAttempts"`
+	MaxRetryAfter     time.Duration `json:"maxRetryAfter"`
+	AllowHealthChecks bool          `json:"probes"`
+	AllowRetryAfter   bool          `json:"retryAfter"`
+	AllowHedging      bool          `json:"secondCopies"`
 }
 
-// Prices holds what is taken off the result.
-type Prices struct {
+// Costs holds what is taken off the result.
+type Costs struct {
 	CrossZone float64 `json:"crossZone"`
 }
 
-// ReportChannel says how load reports come: piggyback, pull or silent.
-type ReportChannel struct {
-	Via string `json:"via"`
+// LoadReports says how load reports come: piggyback, pull or silent.
+type LoadReports struct {
+	Channel string `json:"via"`
 }
 
-// Effect is [policy.Effect] by its name on the wire.
-type Effect policy.Effect
+// Idempotency is [policy.Idempotency] by its name on the wire.
+type Idempotency policy.Idempotency
 
-// Group is [policy.Group] by its name on the wire.
-type Group policy.Group
+// DedupScope is [policy.DedupScope] by its name on the wire.
+type DedupScope policy.DedupScope
 
 var (
-	effects = map[string]policy.Effect{"repeatable": policy.Repeatable, "by_key": policy.Keyed, "once": policy.Once}
-	groups  = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone,
-		"cell": policy.GroupCell}
+	effects = map[string]policy.Idempotency{"repeatable": policy.Idempotent, "by_key": policy.IdempotentByKey, "once": policy.NonIdempotent}
+	groups  = map[string]policy.DedupScope{"": policy.DedupFleet, "all": policy.DedupFleet, "zone": policy.DedupZone,
+		"cell": policy.DedupCell}
 )
 
 // UnmarshalText implements [encoding.TextUnmarshaler].
-func (e *Effect) UnmarshalText(text []byte) error {
+func (e *Idempotency) UnmarshalText(text []byte) error {
 	v, ok := effects[string(text)]
 	if !ok {
 		return fmt.Errorf("unknown effect %q", text)
 	}
-	*e = Effect(v)
+	*e = Idempotency(v)
 	return nil
 }
 
 // UnmarshalText implements [encoding.TextUnmarshaler].
-func (g *Group) UnmarshalText(text []byte) error {
+func (g *DedupScope) UnmarshalText(text []byte) error {
 	v, ok := groups[string(text)]
 	if !ok {
 		return fmt.Errorf("unknown group %q", text)
 	}
-	*g = Group(v)
+	*g = DedupScope(v)
 	return nil
 }
 
@@ -136,27 +136,27 @@
 	return s, nil
 }
 
-// Logic returns what the decision module is told, with the seed of this life.
-func (s *Settings) Logic(seed uint64) policy.Settings {
-	f, lim, c := &s.Family, &s.Limits, &s.Contract
+// Policy returns what the decision module is told, with the seed of this life.
+func (s *Settings) Policy(seed uint64) policy.Settings {
+	f, lim, c := &s.Service, &s.Limits, &s.Rules
 	set := policy.Settings{
-		Seed: seed, Rank: s.Rank, Gateways: s.Gateways, Zone: s.Zone,
-		MustAsk: s.Membership == "ask", AskEvery: c.AskEvery,
-		Counter: f.Counter, CountWait: f.CountWait, Meter: f.Meter, TruedUp: f.TruedUp, MostUnits: f.MostUnits,
-		ColdFrom: c.ColdFrom, WarmUp: c.WarmUp, FallMultiple: c.FallMultiple, OverloadFor: c.OverloadFor,
-		MayCancel: lim.Cancel, MayProbe: lim.Probes, MayCopy: lim.SecondCopies, MayAdvise: lim.RetryAfter,
-		MaxAttempts: lim.MaxAttempts, MaxAdvice: lim.MaxRetryAfter, CrossZoneCost: s.Prices.CrossZone,
-		ReportsInProbes: s.Report.Via == "pull",
+		Seed: seed, GatewayIndex: s.GatewayIndex, Gateways: s.Gateways, Zone: s.Zone,
+		MustSubscribe: s.DiscoveryMode == "ask", SubscriptionTimeout: c.SubscriptionTimeout,
+		CounterEnabled: f.CounterEnabled, CounterTimeout: f.CounterTimeout, MeterPeriod: f.MeterPeriod, ActualUnitsReported: f.ActualUnitsReported, MaxRequestUnits: f.MaxRequestUnits,
+		SlowStartCapacity: c.SlowStartCapacity, SlowStartDuration: c.SlowStartDuration, OverloadMultiple: c.OverloadMultiple, OverloadDuration: c.OverloadDuration,
+		AllowCancel: lim.AllowCancel, AllowHealthChecks: lim.AllowHealthChecks, AllowHedging: lim.AllowHedging, AllowRetryAfter: lim.AllowRetryAfter,
+		MaxAttempts: lim.MaxAttempts, MaxRetryAfter: lim.MaxRetryAfter, CrossZoneCost: s.Costs.CrossZone,
+		LoadReportsInHealthChecks: s.LoadReports.Channel == "pull",
 	}
 	for _, k := range s.Classes {
-		set.Classes = append(set.Classes, policy.Class{Aim: k.Aim, Deadline: k.Deadline,
-			Effect: policy.Effect(k.Effect), Group: policy.Group(k.Group), Window: k.Window,
-			LateWorth: k.LateWorth, Worth: k.Value, Stream: k.Stream})
+		set.Classes = append(set.Classes, policy.Class{LatencyObjective: k.LatencyObjective, Deadline: k.Deadline,
+			Idempotency: policy.Idempotency(k.Idempotency), DedupScope: policy.DedupScope(k.DedupScope), DedupWindow: k.DedupWindow,
+			LateWeight: k.LateWeight, PriorityWeight: k.PriorityWeight, Streaming: k.Streaming})
 	}
 	for _, p := range s.Plans {
-		set.Plans = append(set.Plans, policy.Plan{Rate: p.Refill, Burst: p.Depth, Open: p.Concurrency,
-			CeilingRate: p.NeverOverRate, CeilingBurst: p.CeilingBurst, CeilingTolerance: p.Tolerance,
-			Worth: p.WorthFactor, OverWorth: p.OverWorth, OverCost: p.ExcessCost})
+		set.Plans = append(set.Plans, policy.Plan{Rate: p.Rate, Burst: p.Burst, MaxConcurrent: p.MaxConcurrent,
+			HardLimitRate: p.HardLimitRate, HardLimitBurst: p.HardLimitBurst, HardLimitTolerance: p.HardLimitTolerance,
+			PriorityWeight: p.PriorityWeight, OverQuotaWeight: p.OverQuotaWeight, OverQuotaCost: p.OverQuotaCost})
 	}
 	return set
 }
--- a/internal/edge/clients.go
+++ b/internal/edge/clients.go
@@ -506,9 +506,9 @@
 }
 
 // parse reads and checks a client's request, up to its last byte.
-func (n *Node) parse(req *http.Request) (*request, policy.Arrived, error) {
-	var ev policy.Arrived
-	fail := func(format string, args ...any) (*request, policy.Arrived, error) {
+func (n *Node) parse(req *http.Request) (*request, policy.RequestReceived, error) {
+	var ev policy.RequestReceived
+	fail := func(format string, args ...any) (*request, policy.RequestReceived, error) {
 		return nil, ev, fmt.Errorf(format, args...)
 	}
 	// The library drops a length beside a Transfer-Encoding, under HTTP/1.0 the
@@ -528,7 +528,7 @@
 	}
 	id, class, plan, customer, expires, terms := v[0], v[1], v[2], v[3], v[4], v[5]
 	set := n.cfg.Settings
-	ev.ID, ev.Class, ev.Plan = id, -1, -1
+	ev.RequestID, ev.Class, ev.Plan = id, -1, -1
 	for i := range set.Classes {
 		if set.Classes[i].Name == class {
 			ev.Class = i
@@ -550,27 +550,27 @@
 		return fail("the path is not of class %s", class)
 	}
 	var err error
-	if ev.Customer, err = strconv.ParseUint(customer, 16, 33); err != nil || !isID(customer) {
+	if ev.Tenant, err = strconv.ParseUint(customer, 16, 33); err != nil || !isID(customer) {
 		return fail("Api-Customer: no customer")
 	}
 	ms, err := strconv.ParseUint(expires, 10, 31)
 	if err != nil || ms == 0 {
 		return fail("X-Expires-In-Ms: no number of milliseconds")
 	}
-	ev.Patience = time.Duration(ms) * time.Millisecond
+	ev.Timeout = time.Duration(ms) * time.Millisecond
 	if d := set.Classes[ev.Class].Deadline; d > 0 {
-		ev.Patience = min(ev.Patience, d) // no client of this class waits longer
+		ev.Timeout = min(ev.Timeout, d) // no client of this class waits longer
 	}
 	if err := n.parseTerms(terms, &ev); err != nil {
 		return nil, ev, err
 	}
-	ev.Repeat = req.Header.Get("X-Second-Try") == "1"
+	ev.IsRetry = req.Header.Get("X-Second-Try") == "1"
 	key := req.Header["Idempotency-Key"]
 	method, keys := http.MethodPost, 0
-	switch policy.Effect(set.Classes[ev.Class].Effect) {
-	case policy.Repeatable:
+	switch policy.Idempotency(set.Classes[ev.Class].Idempotency) {
+	case policy.Idempotent:
 		method = http.MethodGet
-	case policy.Keyed:
+	case policy.IdempotentByKey:
 		keys = 1
 	}
 	if req.Method != method || len(key) != keys || keys == 1 && (!visible(key[0]) || len(key[0]) > keyMost) {
@@ -581,7 +581,7 @@
 	}
 	r := &request{id: id}
 	if keys > 0 {
-		r.window = set.Classes[ev.Class].Window
+		r.window = set.Classes[ev.Class].DedupWindow
 	}
 	if req.ContentLength > 0 {
 		r.body = make([]byte, req.ContentLength)
@@ -591,13 +591,13 @@
 	}
 	// The request's time runs from its last byte.
 	r.came = time.Now()
-	r.deadline = r.came.Add(ev.Patience)
+	r.deadline = r.came.Add(ev.Timeout)
 	r.head = forwardHead(req, id, key, len(r.body))
 	return r, ev, nil
 }
 
 // parseTerms reads a header of the form units=2,spread=3,first=1.
-func (n *Node) parseTerms(terms string, ev *policy.Arrived) error {
+func (n *Node) parseTerms(terms string, ev *policy.RequestReceived) error {
 	seen := 0
 	for part := range strings.SplitSeq(terms, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -613,7 +613,7 @@
 		seen |= bit
 		switch name {
 		case "units":
-			if v == 0 || n.cfg.Settings.Family.MostUnits > 0 && v > n.cfg.Settings.Family.MostUnits {
+			if v == 0 || n.cfg.Settings.Service.MaxRequestUnits > 0 && v > n.cfg.Settings.Service.MaxRequestUnits {
 				return errors.New("Api-Terms: units out of range")
 			}
 			ev.Units = v
@@ -621,7 +621,7 @@
 			if v != math.Trunc(v) || v < 1 || v > gateways {
 				return errors.New("Api-Terms: spread out of range")
 			}
-			ev.Spread = int(v)
+			ev.TenantGateways = int(v)
 		case "first":
 			if v != math.Trunc(v) || v >= gateways {
 				return errors.New("Api-Terms: first out of range")
--- a/internal/edge/counter.go
+++ b/internal/edge/counter.go
@@ -55,14 +55,14 @@
 func newCounter(n *Node, addr string) *counter { return &counter{node: n, addr: addr} }
 
 // count begins a call. The lock is held.
-func (n *Node) count(a policy.Count) {
+func (n *Node) count(a policy.AddToCounter) {
 	k := n.counter
 	if k == nil || k.waiting() >= counterPipeline {
-		n.post(policy.Counted{Name: a.Name, Outcome: policy.NoRoute})
+		n.post(policy.CounterReplied{Key: a.Key, Outcome: policy.ConnectFailed})
 		return
 	}
-	c := &call{name: a.Name, sent: time.Now(), text: callText(k.addr, a)}
-	wait := counterPatience * n.cfg.Settings.Family.CountWait
+	c := &call{name: a.Key, sent: time.Now(), text: callText(k.addr, a)}
+	wait := counterPatience * n.cfg.Settings.Service.CounterTimeout
 	if wait <= 0 {
 		wait = counterSilence
 	}
@@ -71,11 +71,11 @@
 	k.wake()
 }
 
-func callText(host string, a policy.Count) []byte {
-	ms := max((a.Lives+time.Millisecond-1)/time.Millisecond, 1)
+func callText(host string, a policy.AddToCounter) []byte {
+	ms := max((a.TTL+time.Millisecond-1)/time.Millisecond, 1)
 	b := make([]byte, 0, 128)
 	b = append(b, "POST /v2/numbers/"...)
-	b = strconv.AppendUint(b, a.Name, 10)
+	b = strconv.AppendUint(b, a.Key, 10)
 	b = append(b, "?delta="...)
 	b = strconv.AppendFloat(b, a.Units, 'f', -1, 64)
 	b = append(b, "&life_ms="...)
@@ -117,7 +117,7 @@
 	if !c.told {
 		c.told = true
 		c.timer.Stop()
-		k.node.post(policy.Counted{Name: c.name, Outcome: o, Total: total})
+		k.node.post(policy.CounterReplied{Key: c.name, Outcome: o, Total: total})
 	}
 }
 
@@ -128,13 +128,13 @@
 	for i, q := range k.queue {
 		if q == c {
 			k.queue = append(k.queue[:i:i], k.queue[i+1:]...)
-			k.tell(c, policy.NoRoute, 0)
+			k.tell(c, policy.ConnectFailed, 0)
 			return
 		}
 	}
 	k.tell(c, policy.TimedOut, 0)
 	if l := k.link; l != nil && len(l.written) > 0 && time.Since(l.written[0].sent) > counterSilence {
-		k.fail(policy.NoRoute) // its machine has gone without a word
+		k.fail(policy.ConnectFailed) // its machine has gone without a word
 	}
 }
 
@@ -180,7 +180,7 @@
 		k.end(l)
 		k.wake()
 	case l == k.link:
-		k.fail(policy.NoRoute)
+		k.fail(policy.ConnectFailed)
 	default:
 		k.end(l)
 	}
@@ -233,7 +233,7 @@
 		case <-idle.C:
 			k.node.mu.Lock()
 			if !l.dead && !l.retired && len(k.queue) == 0 {
-				k.fail(policy.NoRoute)
+				k.fail(policy.ConnectFailed)
 			}
 			dead := l.dead
 			k.node.mu.Unlock()
@@ -324,10 +324,10 @@
 		if negative {
 			total = -total
 		}
-		return policy.Pass, total, !resp.Close
+		return policy.Succeeded, total, !resp.Close
 	case resp.StatusCode == http.StatusServiceUnavailable, resp.StatusCode == http.StatusBadRequest,
 		resp.StatusCode == http.StatusNotFound:
-		return policy.Full, 0, ok
+		return policy.Overloaded, 0, ok
 	}
 	return policy.TimedOut, 0, ok
 }
--- a/internal/edge/counter_test.go
+++ b/internal/edge/counter_test.go
@@ -15,11 +15,11 @@
 
 // counted stands in for the module and records what it is told of counter calls, in order.
 type counted struct {
-	ch chan policy.Counted
+	ch chan policy.CounterReplied
 }
 
 func (w *counted) Step(_ policy.Time, ev policy.Event, out []policy.Action) []policy.Action {
-	if c, ok := ev.(policy.Counted); ok {
+	if c, ok := ev.(policy.CounterReplied); ok {
 		w.ch <- c
 	}
 	return out
@@ -30,7 +30,7 @@
 	t.Helper()
 	cfg := testConfig(t)
 	cfg.Counter = addr
-	cfg.Settings.Family.CountWait = wait
+	cfg.Settings.Service.CounterTimeout = wait
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -42,14 +42,14 @@
 
 // watchCounted puts a record in the module's place.
 func watchCounted(n *Node) *counted {
-	w := &counted{ch: make(chan policy.Counted, 64)}
+	w := &counted{ch: make(chan policy.CounterReplied, 64)}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.gateway = w
 	return w
 }
 
-func (w *counted) next(t *testing.T) policy.Counted {
+func (w *counted) next(t *testing.T) policy.CounterReplied {
 	t.Helper()
 	select {
 	case c := <-w.ch:
@@ -57,13 +57,13 @@
 	case <-time.After(patience):
 		t.Fatal("no outcome of a call")
 	}
-	return policy.Counted{}
+	return policy.CounterReplied{}
 }
 
 func (n *Node) testCount(name uint64, units float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.count(policy.Count{Name: name, Units: units, Lives: 1500 * time.Microsecond})
+	n.count(policy.AddToCounter{Key: name, Units: units, TTL: 1500 * time.Microsecond})
 }
 
 // Guards the form of a call and the order of pipelined answers.
@@ -85,7 +85,7 @@
 	n.testCount(1<<63-1, -2.5)
 	n.testCount(6, 0)
 	n.testCount(6, 1)
-	for i, want := range []policy.Counted{{Name: 1<<63 - 1, Total: 1}, {Name: 6, Total: 2}, {Name: 6, Outcome: policy.Full}} {
+	for i, want := range []policy.CounterReplied{{Key: 1<<63 - 1, Total: 1}, {Key: 6, Total: 2}, {Key: 6, Outcome: policy.Overloaded}} {
 		if got := w.next(t); got != want {
 			t.Errorf("call %d: %+v", i, got)
 		}
@@ -114,10 +114,10 @@
 	if got := w.next(t); got.Outcome != policy.TimedOut {
 		t.Errorf("first call: %+v", got)
 	}
-	n.cfg.Settings.Family.CountWait = patience
+	n.cfg.Settings.Service.CounterTimeout = patience
 	n.testCount(1, 1)
 	close(let)
-	if got := w.next(t); got.Outcome != policy.Pass || got.Total != 222 {
+	if got := w.next(t); got.Outcome != policy.Succeeded || got.Total != 222 {
 		t.Errorf("second call: %+v", got)
 	}
 }
@@ -133,7 +133,7 @@
 	n := startCounter(t, app.addr, wait)
 	w := watchCounted(n)
 	n.testCount(1, 1)
-	if got := w.next(t); got != (policy.Counted{Name: 1, Total: 7}) {
+	if got := w.next(t); got != (policy.CounterReplied{Key: 1, Total: 7}) {
 		t.Errorf("%+v", got)
 	}
 }
@@ -147,7 +147,7 @@
 	n := startCounter(t, addr, patience)
 	w := watchCounted(n)
 	n.testCount(1, 1)
-	if got := w.next(t); got.Outcome != policy.NoRoute {
+	if got := w.next(t); got.Outcome != policy.ConnectFailed {
 		t.Errorf("refused: %+v", got)
 	}
 	app := startApp(t, func(net.Conn, *http.Request, []byte) bool { return false })
@@ -190,7 +190,7 @@
 	w := watchCounted(n)
 	for end := time.Now().Add(patience); ; {
 		n.testCount(1, 1)
-		if got := w.next(t); got.Outcome == policy.Pass {
+		if got := w.next(t); got.Outcome == policy.Succeeded {
 			break
 		}
 		if time.Now().After(end) {
@@ -217,11 +217,11 @@
 	eventually(t, "the first call", func() bool { return len(old.requests()) == 1 })
 	n.Move("", fresh.addr)
 	n.testCount(2, 1)
-	if got, want := w.next(t), (policy.Counted{Name: 2, Total: 222}); got != want {
+	if got, want := w.next(t), (policy.CounterReplied{Key: 2, Total: 222}); got != want {
 		t.Errorf("call to the new address: %+v", got)
 	}
 	close(let)
-	if got, want := w.next(t), (policy.Counted{Name: 1, Total: 111}); got != want {
+	if got, want := w.next(t), (policy.CounterReplied{Key: 1, Total: 111}); got != want {
 		t.Errorf("answer of the old address: %+v", got)
 	}
 	select {
@@ -251,11 +251,11 @@
 		n.testCount(1, 1)
 		eventually(t, "the first call", func() bool { return len(app.requests()) == 1 })
 		close(let)
-		if got := w.next(t); got.Name != 1 || got.Outcome != policy.TimedOut {
+		if got := w.next(t); got.Key != 1 || got.Outcome != policy.TimedOut {
 			t.Errorf("%q: %+v", spoilt, got)
 		}
 		n.testCount(2, 1)
-		if got := w.next(t); got != (policy.Counted{Name: 2, Total: 7}) {
+		if got := w.next(t); got != (policy.CounterReplied{Key: 2, Total: 7}) {
 			t.Errorf("%q: the next call %+v", spoilt, got)
 		}
 	}
--- a/internal/edge/discovery.go
+++ b/internal/edge/discovery.go
@@ -33,8 +33,8 @@
 	StartedAt int64   `json:"startedAtMs"`
 }
 
-var lifecycles = map[string]policy.ServerState{"SERVING": policy.Serving, "DRAINING": policy.Draining,
-	"DELETED": policy.Deleted}
+var lifecycles = map[string]policy.EndpointState{"SERVING": policy.Serving, "DRAINING": policy.Draining,
+	"DELETED": policy.Removed}
 
 // follow keeps the list of app servers up to date until the node stops.
 func (n *Node) follow() {
@@ -55,9 +55,9 @@
 		list, err := fetch(ctx, client, url, plan.patience)
 		if err == nil {
 			if plan.whole || list.Reset {
-				n.applyList(list, policy.ListComplete)
+				n.applyList(list, policy.FullUpdate)
 			} else if len(list.Instances) > 0 {
-				n.applyList(list, policy.ListPartial)
+				n.applyList(list, policy.IncrementalUpdate)
 			}
 			plan.answered(list.Generation)
 			continue
@@ -133,12 +133,12 @@
 }
 
 // applyList takes news of the app servers and tells the module.
-func (n *Node) applyList(list List, scope policy.ListScope) {
+func (n *Node) applyList(list List, scope policy.UpdateScope) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
 	named, held := map[string]bool{}, map[string]string{}
-	entries := make([]policy.Server, 0, len(list.Instances))
+	entries := make([]policy.Endpoint, 0, len(list.Instances))
 	for _, e := range list.Instances {
 		state, ok := lifecycles[e.Lifecycle]
 		if !ok || e.ID == "" {
@@ -149,28 +149,28 @@
 		if state == policy.Serving {
 			held[e.HostPort] = e.ID
 		}
-		entries = append(entries, policy.Server{ID: e.ID, Zone: slices.Index(n.cfg.Settings.Zones, e.Zone),
-			Cell: e.Cell, Weight: e.Weight, Born: policy.Time(e.StartedAt) * policy.Time(time.Millisecond), State: state})
+		entries = append(entries, policy.Endpoint{ID: e.ID, Zone: slices.Index(n.cfg.Settings.Zones, e.Zone),
+			Cell: e.Cell, Weight: e.Weight, StartedAt: policy.Time(e.StartedAt) * policy.Time(time.Millisecond), State: state})
 		n.pool.list(e.ID, e.HostPort, e.StartedAt, state, now)
 	}
 	for id, s := range n.pool.servers {
 		switch by := held[s.addr]; {
 		case named[id]:
-		case scope == policy.ListComplete:
-			n.pool.list(id, "", 0, policy.Deleted, now)
+		case scope == policy.FullUpdate:
+			n.pool.list(id, "", 0, policy.Removed, now)
 		case by != "": // another process has its address: what is sent there would reach that one
-			n.pool.list(id, "", 0, policy.Deleted, now)
-			entries = append(entries, policy.Server{ID: id, State: policy.Deleted})
+			n.pool.list(id, "", 0, policy.Removed, now)
+			entries = append(entries, policy.Endpoint{ID: id, State: policy.Removed})
 		}
 	}
 	n.pool.countServing()
-	n.post(policy.ServersChanged{Scope: scope, Servers: entries})
+	n.post(policy.EndpointsUpdated{Scope: scope, Endpoints: entries})
 }
 
 // list takes discovery's word on one app server.
-func (p *pool) list(id, addr string, started int64, state policy.ServerState, now time.Time) {
+func (p *pool) list(id, addr string, started int64, state policy.EndpointState, now time.Time) {
 	s := p.servers[id]
-	if state == policy.Deleted {
+	if state == policy.Removed {
 		if s != nil {
 			s.drain(now)
 			p.dropIdle(s)
--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -115,7 +115,7 @@
 	r := startNode(t, testConfig(t), app.addr)
 	r.dial().ask(clientRequest("merge", "00000000000000aa"))
 	r.node.applyList(List{Instances: []Instance{{ID: "s-new", HostPort: app.addr, Zone: "a", Lifecycle: "SERVING"}}},
-		policy.ListPartial)
+		policy.IncrementalUpdate)
 	r.node.mu.Lock()
 	if p := &r.node.pool; p.servers["s-0"] != nil || p.servers["s-new"] == nil || p.serving != 1 || p.open != 0 {
 		t.Errorf("%d serving, %d connections, %v", p.serving, p.open, p.servers)
@@ -143,7 +143,7 @@
 	for seed := range uint64(fleet) {
 		cfg := testConfig(t)
 		cfg.Discovery, cfg.Seed, cfg.Settings.Gateways = disco.addr, seed, fleet
-		cfg.Settings.Membership, cfg.Settings.Contract.AskEvery = "ask", 10*time.Second
+		cfg.Settings.DiscoveryMode, cfg.Settings.Rules.SubscriptionTimeout = "ask", 10*time.Second
 		cfg.Known = List{Generation: 41, Instances: []Instance{{ID: "s-0", HostPort: "127.0.0.1:9", Lifecycle: "SERVING"}}}
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
@@ -194,7 +194,7 @@
 			return true
 		})
 		cfg := testConfig(t)
-		cfg.Discovery, cfg.Settings.Contract.DrainGrace = disco.addr, grace
+		cfg.Discovery, cfg.Settings.Rules.DrainGrace = disco.addr, grace
 		cfg.Known.Instances = []Instance{{ID: "s-0", Lifecycle: "SERVING"}}
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
@@ -289,7 +289,7 @@
 		})
 		cfg := testConfig(t)
 		cfg.Discovery, cfg.Seed, cfg.Settings.Gateways = disco.addr, seed, 300
-		cfg.Settings.Membership, cfg.Settings.Contract.AskEvery = "ask", 10*time.Second
+		cfg.Settings.DiscoveryMode, cfg.Settings.Rules.SubscriptionTimeout = "ask", 10*time.Second
 		cfg.Known.Instances = []Instance{{ID: "s-0", HostPort: "127.0.0.1:9", Lifecycle: "SERVING"}}
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
@@ -340,7 +340,7 @@
 			return true
 		})
 		cfg := testConfig(t)
-		cfg.Discovery, cfg.Settings.Membership = disco.addr, mode
+		cfg.Discovery, cfg.Settings.DiscoveryMode = disco.addr, mode
 		r := startNode(t, cfg)
 		if uri := receive(t, "a call", asked); uri != "/api/targets" {
 			t.Errorf("%s: the first call is %s", mode, uri)
--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -192,6 +192,6 @@
 }
 
 // arrived is the event of a usual request.
-func arrived(id string) policy.Arrived {
-	return policy.Arrived{ID: id, Patience: time.Second, Units: 1, Spread: 1}
+func arrived(id string) policy.RequestReceived {
+	return policy.RequestReceived{RequestID: id, Timeout: time.Second, Units: 1, TenantGateways: 1}
 }
--- a/internal/edge/leave_test.go
+++ b/internal/edge/leave_test.go
@@ -81,11 +81,11 @@
 		return true
 	})
 	cfg := testConfig(t)
-	cfg.Counter, cfg.Settings.Family.Counter = counter.addr, true
-	cfg.Settings.Family.CountWait = patience // less than half of the request's time, or it would not wait
+	cfg.Counter, cfg.Settings.Service.CounterEnabled = counter.addr, true
+	cfg.Settings.Service.CounterTimeout = patience // less than half of the request's time, or it would not wait
 	cfg.Settings.Classes[0].Deadline = 3 * patience
 	plan := &cfg.Settings.Plans[0]
-	plan.Refill, plan.Depth, plan.ExcessCost = 2, 4, 1 // so little that tries are placed by the counter
+	plan.Rate, plan.Burst, plan.OverQuotaCost = 2, 4, 1 // so little that tries are placed by the counter
 	r := startNode(t, cfg, app.addr)
 	c := r.dial()
 	io.WriteString(c, clientRequest("lookup", "00000000000000aa", "3000", "60000"))
@@ -119,7 +119,7 @@
 	}
 	a, b := startApp(t, serve), startApp(t, serve)
 	cfg := testConfig(t)
-	cfg.Settings.Limits.Cancel = false // the attempt stays out when its client leaves
+	cfg.Settings.Limits.AllowCancel = false // the attempt stays out when its client leaves
 	r := startNode(t, cfg, a.addr, b.addr)
 	ended := make(chan policy.Outcome, 8)
 	r.node.mu.Lock()
@@ -131,7 +131,7 @@
 	c.Close()
 	forgotten(r)
 	close(let)
-	if o := <-ended; o != policy.Full {
+	if o := <-ended; o != policy.Overloaded {
 		t.Errorf("the attempt ends as %d", o)
 	}
 	if got := append(a.requests(), b.requests()...); len(got) != 1 {
@@ -147,9 +147,9 @@
 
 func (m endings) Step(now policy.Time, ev policy.Event, out []policy.Action) []policy.Action {
 	out = m.module.Step(now, ev, out)
-	if e, ok := ev.(policy.Ended); ok {
+	if e, ok := ev.(policy.AttemptEnded); ok {
 		for _, a := range out {
-			if _, ok := a.(policy.Send); ok {
+			if _, ok := a.(policy.StartAttempt); ok {
 				m.got <- -1
 			}
 		}
@@ -181,7 +181,7 @@
 				}
 				a, b := startApp(t, serve), startApp(t, serve)
 				cfg := testConfig(t)
-				cfg.Settings.Limits.Cancel = false // the attempt stays out when its client leaves
+				cfg.Settings.Limits.AllowCancel = false // the attempt stays out when its client leaves
 				r := startNode(t, cfg, a.addr, b.addr)
 				c := r.dial()
 				io.WriteString(c, clientRequest("lookup", "00000000000000aa"))
@@ -235,7 +235,7 @@
 				return err == nil
 			})
 			cfg := testConfig(t)
-			cfg.Settings.Plans[0].Refill, cfg.Settings.Plans[0].Depth = 1e5, 1e5
+			cfg.Settings.Plans[0].Rate, cfg.Settings.Plans[0].Burst = 1e5, 1e5
 			r := startNode(t, cfg, app.addr)
 			r.node.bodies.Store(room)
 			c := r.dial()
@@ -414,7 +414,7 @@
 		answer: make(chan answer, 1), head: []byte("GET /lookup/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\nX-Expires-In-Ms: ")}
 	q.guard = r.node.after(patience, func() {})
 	r.node.requests[id] = q
-	r.node.post(policy.Arrived{ID: id, Customer: 1, Patience: patience, Units: 1, Spread: 1})
+	r.node.post(policy.RequestReceived{RequestID: id, Tenant: 1, Timeout: patience, Units: 1, TenantGateways: 1})
 	return q
 }
 
@@ -424,7 +424,7 @@
 	for _, cancel := range []bool{true, false} {
 		app := startApp(t, say(hello))
 		cfg := testConfig(t)
-		cfg.Settings.Limits.Cancel = cancel
+		cfg.Settings.Limits.AllowCancel = cancel
 		r := startNode(t, cfg, app.addr)
 		r.dial().ask(clientRequest("lookup", "00000000000000aa"))
 		r.node.mu.Lock()
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -119,7 +119,7 @@
 		requests: map[string]*request{}, pause: pause, dial: (&net.Dialer{}).DialContext,
 		transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true},
 		failed:    make(chan error, 1), discovery: cfg.Discovery}
-	gw, err := policy.New(n.epoch, cfg.Settings.Logic(cfg.Seed))
+	gw, err := policy.New(n.epoch, cfg.Settings.Policy(cfg.Seed))
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -145,7 +145,7 @@
 
 // start begins to follow discovery and to serve the module's calls.
 func (n *Node) start() {
-	n.applyList(n.cfg.Known, policy.ListOld)
+	n.applyList(n.cfg.Known, policy.CachedUpdate)
 	if n.cfg.Discovery != "" {
 		n.worker.Go(n.follow)
 	}
@@ -164,7 +164,7 @@
 		}
 	}
 	if n.counter != nil {
-		n.counter.fail(policy.NoRoute)
+		n.counter.fail(policy.ConnectFailed)
 	}
 	n.mu.Unlock()
 	n.worker.Wait()
@@ -223,24 +223,24 @@
 // carryOut does one action of the module.
 func (n *Node) carryOut(a policy.Action) {
 	switch a := a.(type) {
-	case policy.Send:
+	case policy.StartAttempt:
 		n.send(a)
-	case policy.Cancel:
-		if r := n.requests[a.ID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
-			n.end(r.attempts[a.Attempt], policy.Undone, policy.Report{})
+	case policy.CancelAttempt:
+		if r := n.requests[a.RequestID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
+			n.end(r.attempts[a.Attempt], policy.Canceled, policy.LoadReport{})
 		}
-	case policy.Refuse:
-		n.finish(a.ID, answer{status: statusRefused, retryAfter: a.HoldOff})
+	case policy.Reject:
+		n.finish(a.RequestID, answer{status: statusRefused, retryAfter: a.RetryAfter})
 	case policy.Fail:
-		n.finish(a.ID, answer{status: statusFailed})
-	case policy.Count:
+		n.finish(a.RequestID, answer{status: statusFailed})
+	case policy.AddToCounter:
 		n.count(a)
-	case policy.Wake:
-		cookie := a.Cookie
-		n.after(a.After, func() { n.post(policy.Woke{Cookie: cookie}) })
-	case policy.Probe:
-		n.probe(a.Server)
-	case policy.Subscribe: // discovery is followed throughout
+	case policy.StartTimer:
+		cookie := a.TimerID
+		n.after(a.After, func() { n.post(policy.TimerFired{TimerID: cookie}) })
+	case policy.CheckHealth:
+		n.probe(a.Endpoint)
+	case policy.WatchEndpoints: // discovery is followed throughout
 	default:
 		n.log.Error("action not known to the driver", "action", fmt.Sprintf("%T", a))
 	}
@@ -259,7 +259,7 @@
 
 // arrive takes a request whose last byte has come. It reports false, and takes
 // nothing, if a request of that id is open.
-func (n *Node) arrive(r *request, ev policy.Arrived) bool {
+func (n *Node) arrive(r *request, ev policy.RequestReceived) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.requests[r.id] != nil {
@@ -281,7 +281,7 @@
 func (n *Node) expire(r *request) {
 	if !r.final {
 		n.settle(r, answer{status: statusExpired})
-		n.post(policy.Left{ID: r.id})
+		n.post(policy.ClientDisconnected{RequestID: r.id})
 		n.release(r)
 	}
 }
@@ -305,7 +305,7 @@
 func (n *Node) left(r *request) {
 	if !r.final {
 		n.settle(r, answer{})
-		n.post(policy.Left{ID: r.id})
+		n.post(policy.ClientDisconnected{RequestID: r.id})
 		n.release(r)
 	}
 }
@@ -333,15 +333,15 @@
 }
 
 // end gives an attempt its one outcome and tells the module.
-func (n *Node) end(a *attempt, o policy.Outcome, report policy.Report) {
+func (n *Node) end(a *attempt, o policy.Outcome, report policy.LoadReport) {
 	if a.ended {
 		return
 	}
-	a.ended, a.unrun = true, o == policy.Full || o == policy.NoRoute || o == policy.Unsent
+	a.ended, a.unrun = true, o == policy.Overloaded || o == policy.ConnectFailed || o == policy.NotSent
 	a.abandon()
 	r := a.request
 	r.out--
-	n.post(policy.Ended{ID: r.id, Attempt: a.number, Server: a.target, Outcome: o, Lag: time.Since(a.sent),
-		Over: r.final, TrueUnits: a.units, Report: report})
+	n.post(policy.AttemptEnded{RequestID: r.id, Attempt: a.number, Endpoint: a.target, Outcome: o, Latency: time.Since(a.sent),
+		RequestDone: r.final, ActualUnits: a.units, Report: report})
 	n.release(r)
 }
--- a/internal/edge/node_test.go
+++ b/internal/edge/node_test.go
@@ -370,7 +370,7 @@
 func TestRefused(t *testing.T) {
 	app := startApp(t, say(hello))
 	cfg := testConfig(t)
-	cfg.Settings.Plans[1].NeverOverRate, cfg.Settings.Plans[1].CeilingBurst = 0.001, 0.001
+	cfg.Settings.Plans[1].HardLimitRate, cfg.Settings.Plans[1].HardLimitBurst = 0.001, 0.001
 	r := startNode(t, cfg, app.addr)
 	resp, _ := r.dial().ask(clientRequest("merge", "00000000000000aa", "basic", "none"))
 	if resp.StatusCode != http.StatusTooManyRequests || resp.Header.Get("Retry-After") == "" {
@@ -427,7 +427,7 @@
 	app := startApp(t, func(net.Conn, *http.Request, []byte) bool { return true })
 	cfg := testConfig(t)
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Aim = 300 * time.Millisecond
+		cfg.Settings.Classes[i].LatencyObjective = 300 * time.Millisecond
 	}
 	for _, class := range []string{"lookup", "save", "merge"} {
 		r := startNode(t, cfg, app.addr)
--- a/internal/edge/servers.go
+++ b/internal/edge/servers.go
@@ -110,7 +110,7 @@
 
 func newPool(set *config.Settings, sockets int) pool {
 	p := pool{servers: map[string]*server{}, most: 512, dial: set.Limits.DialTimeout,
-		idleLimit: set.Limits.IdleClose / 2, grace: set.Contract.DrainGrace}
+		idleLimit: set.Limits.IdleClose / 2, grace: set.Rules.DrainGrace}
 	if sockets > 0 {
 		p.most = connectionsMost(sockets, idleShareOpen)
 	}
@@ -237,36 +237,36 @@
 }
 
 // send begins an attempt. The lock is held.
-func (n *Node) send(act policy.Send) {
+func (n *Node) send(act policy.StartAttempt) {
 	now := time.Now()
-	r := n.requests[act.ID]
+	r := n.requests[act.RequestID]
 	if r == nil {
-		n.post(policy.Ended{ID: act.ID, Server: act.Server, Outcome: policy.Unsent, Over: true})
+		n.post(policy.AttemptEnded{RequestID: act.RequestID, Endpoint: act.Endpoint, Outcome: policy.NotSent, RequestDone: true})
 		return
 	}
-	a := &attempt{request: r, number: len(r.attempts), target: act.Server, sent: now}
+	a := &attempt{request: r, number: len(r.attempts), target: act.Endpoint, sent: now}
 	r.attempts = append(r.attempts, a)
 	r.out++
-	s := n.pool.servers[act.Server]
+	s := n.pool.servers[act.Endpoint]
 	wait := r.deadline.Sub(now) - cutLead
 	if act.Timeout != 0 {
 		wait = min(wait, act.Timeout)
 	}
 	if r.final || s == nil || wait <= 0 || a.number >= n.cfg.Settings.Limits.MaxAttempts {
-		n.end(a, policy.Unsent, policy.Report{})
+		n.end(a, policy.NotSent, policy.LoadReport{})
 		return
 	}
 	if !n.mayBegin(s, now) {
-		n.end(a, policy.NoRoute, policy.Report{})
+		n.end(a, policy.ConnectFailed, policy.LoadReport{})
 		return
 	}
 	c := n.pool.take(s, now)
 	if c == nil && !n.pool.reserve() {
-		n.end(a, policy.NoRoute, policy.Report{})
+		n.end(a, policy.ConnectFailed, policy.LoadReport{})
 		return
 	}
 	a.conn = c
-	a.timer = n.after(wait, func() { n.end(a, policy.TimedOut, policy.Report{}) })
+	a.timer = n.after(wait, func() { n.end(a, policy.TimedOut, policy.LoadReport{}) })
 	ctx := n.ctx
 	if c == nil {
 		ctx, a.cancel = context.WithTimeout(n.ctx, n.pool.dial)
@@ -357,9 +357,9 @@
 	if c == nil {
 		n.mu.Lock()
 		if a.request.final { // no fault of the server's
-			n.end(a, policy.Unsent, policy.Report{})
+			n.end(a, policy.NotSent, policy.LoadReport{})
 		} else {
-			n.end(a, policy.NoRoute, policy.Report{})
+			n.end(a, policy.ConnectFailed, policy.LoadReport{})
 		}
 		n.mu.Unlock()
 		return
@@ -373,7 +373,7 @@
 		return
 	}
 	if !c.since.IsZero() { // it had stood idle
-		n.pool.ages.note(wrote.Sub(c.since), got.outcome == policy.Broken && time.Since(wrote) < staleTime)
+		n.pool.ages.note(wrote.Sub(c.since), got.outcome == policy.ConnectionLost && time.Since(wrote) < staleTime)
 	}
 	a.conn = nil
 	if got.reusable {
@@ -381,10 +381,10 @@
 	} else {
 		n.pool.discard(c)
 	}
-	if r := a.request; got.outcome == policy.Pass && !r.final {
+	if r := a.request; got.outcome == policy.Succeeded && !r.final {
 		n.settle(r, answer{status: http.StatusOK, body: got.body, contentType: got.contentType})
 	}
-	if most := n.cfg.Settings.Family.MostUnits; most <= 0 || got.units <= most {
+	if most := n.cfg.Settings.Service.MaxRequestUnits; most <= 0 || got.units <= most {
 		a.units = got.units
 	}
 	n.end(a, got.outcome, got.report)
@@ -395,7 +395,7 @@
 	outcome     policy.Outcome
 	body        []byte
 	contentType []string
-	report      policy.Report
+	report      policy.LoadReport
 	units       float64 // that the request truly took; 0: not told
 	reusable    bool    // the connection is good for another request
 }
@@ -409,9 +409,9 @@
 	}
 	if k, err := text.WriteTo(c.Conn); err != nil {
 		if k < length {
-			return reply{outcome: policy.NoRoute}
+			return reply{outcome: policy.ConnectFailed}
 		}
-		return reply{outcome: policy.Broken}
+		return reply{outcome: policy.ConnectionLost}
 	}
 	c.limit.N = answerHeadMost + bodyMost
 	resp, err := http.ReadResponse(c.br, nil)
@@ -420,20 +420,20 @@
 	}
 	if err != nil || resp.StatusCode < 200 || resp.ContentLength > bodyMost ||
 		resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 { // else a cut can't be told from the end
-		return reply{outcome: policy.Broken}
+		return reply{outcome: policy.ConnectionLost}
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, bodyMost+1))
 	if err != nil || len(body) > bodyMost {
-		return reply{outcome: policy.Broken}
+		return reply{outcome: policy.ConnectionLost}
 	}
-	r := reply{outcome: policy.Fault, report: parseReport(resp.Header.Get("Endpoint-Load-Metrics")),
+	r := reply{outcome: policy.ServerError, report: parseReport(resp.Header.Get("Endpoint-Load-Metrics")),
 		reusable: !resp.Close && c.br.Buffered() == 0}
 	switch {
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Never-Ran") == "1":
-		r.outcome = policy.Full
+		r.outcome = policy.Overloaded
 	case resp.StatusCode == http.StatusOK:
-		r.outcome, r.body, r.contentType = policy.Pass, body, resp.Header["Content-Type"]
+		r.outcome, r.body, r.contentType = policy.Succeeded, body, resp.Header["Content-Type"]
 		r.units, _ = decimal(resp.Header.Get("Api-Charge")) // 0 if it can't be read
 	}
 	return r
@@ -441,8 +441,8 @@
 
 // parseReport reads a load report such as "TEXT inflight=7, queue=2, util=0.61";
 // what can't be read is left out.
-func parseReport(text string) policy.Report {
-	var r policy.Report
+func parseReport(text string) policy.LoadReport {
+	var r policy.LoadReport
 	text, ok := strings.CutPrefix(text, "TEXT ")
 	if !ok {
 		return r
@@ -457,9 +457,9 @@
 		case "inflight", "rif":
 			r.InFlight = &v
 		case "queue", "q":
-			r.Queue = &v
+			r.QueueLength = &v
 		case "util", "busy":
-			r.Busy = &v
+			r.Utilization = &v
 		case "latency_ms", "lat_ms":
 			r.LatencyMS = &v
 		}
@@ -470,17 +470,17 @@
 // probe checks an app server. The lock is held.
 func (n *Node) probe(id string) {
 	sent := time.Now()
-	done := func(o policy.Outcome, report policy.Report) {
-		n.post(policy.Probed{Server: id, Outcome: o, Lag: time.Since(sent), Report: report})
+	done := func(o policy.Outcome, report policy.LoadReport) {
+		n.post(policy.HealthCheckDone{Endpoint: id, Outcome: o, Latency: time.Since(sent), Report: report})
 	}
 	s := n.pool.servers[id]
 	if s == nil || !n.mayBegin(s, sent) {
-		done(policy.NoRoute, policy.Report{})
+		done(policy.ConnectFailed, policy.LoadReport{})
 		return
 	}
 	c := n.pool.take(s, sent)
 	if c == nil && !n.pool.reserve() {
-		done(policy.NoRoute, policy.Report{})
+		done(policy.ConnectFailed, policy.LoadReport{})
 		return
 	}
 	addr := s.addr
@@ -491,12 +491,12 @@
 		if c == nil {
 			c = n.connect(ctx, s, addr, func(*conn) bool { return n.mayBegin(s, time.Now()) })
 		}
-		got := reply{outcome: policy.NoRoute}
+		got := reply{outcome: policy.ConnectFailed}
 		if c != nil {
 			stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 			got = c.exchange(net.Buffers{[]byte("GET /-/healthy HTTP/1.1\r\nHost: " + addr + "\r\n\r\n")})
 			got.reusable = stop() && got.reusable
-			if ctx.Err() != nil && got.outcome == policy.Broken {
+			if ctx.Err() != nil && got.outcome == policy.ConnectionLost {
 				got.outcome = policy.TimedOut
 			}
 		}
--- a/internal/edge/servers_test.go
+++ b/internal/edge/servers_test.go
@@ -22,27 +22,27 @@
 		outcome      policy.Outcome
 		reusable     bool
 	}{
-		{"served", hello, policy.Pass, true},
-		{"served, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", policy.Pass, true},
-		{"served, closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nhello", policy.Pass, false},
-		{"served after 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + hello, policy.Pass, true},
-		{"1xx without end", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2*interimMost) + hello, policy.Broken, false},
-		{"more than an answer", hello + hello, policy.Pass, false},
-		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.Fault, true},
-		{"turned away", "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Full, true},
-		{"over already", "HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Full, true},
-		{"503 with no proof", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.Fault, true},
-		{"proof that is none", "HTTP/1.1 500 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Fault, true},
-		{"cut body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", policy.Broken, false},
-		{"body with no end", "HTTP/1.1 200 OK\r\n\r\nhello", policy.Broken, false},
-		{"cut proof", "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 9\r\n\r\nhello", policy.Broken, false},
-		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhello", policy.Broken, false},
-		{"a second copy behind", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", policy.Pass, false},
-		{"cut head", "HTTP/1.1 200 OK\r\nContent-", policy.Broken, false},
-		{"nothing", "", policy.Broken, false},
-		{"noise", "\x00\xff\x00\r\n\r\n", policy.Broken, false},
-		{"too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", bodyMost+1, strings.Repeat("x", bodyMost+1)), policy.Broken, false},
-		{"head too long", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*(bodyMost+answerHeadMost)), policy.Broken, false},
+		{"served", hello, policy.Succeeded, true},
+		{"served, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", policy.Succeeded, true},
+		{"served, closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nhello", policy.Succeeded, false},
+		{"served after 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + hello, policy.Succeeded, true},
+		{"1xx without end", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2*interimMost) + hello, policy.ConnectionLost, false},
+		{"more than an answer", hello + hello, policy.Succeeded, false},
+		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.ServerError, true},
+		{"turned away", "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Overloaded, true},
+		{"over already", "HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Overloaded, true},
+		{"503 with no proof", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.ServerError, true},
+		{"proof that is none", "HTTP/1.1 500 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.ServerError, true},
+		{"cut body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", policy.ConnectionLost, false},
+		{"body with no end", "HTTP/1.1 200 OK\r\n\r\nhello", policy.ConnectionLost, false},
+		{"cut proof", "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 9\r\n\r\nhello", policy.ConnectionLost, false},
+		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhello", policy.ConnectionLost, false},
+		{"a second copy behind", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", policy.Succeeded, false},
+		{"cut head", "HTTP/1.1 200 OK\r\nContent-", policy.ConnectionLost, false},
+		{"nothing", "", policy.ConnectionLost, false},
+		{"noise", "\x00\xff\x00\r\n\r\n", policy.ConnectionLost, false},
+		{"too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", bodyMost+1, strings.Repeat("x", bodyMost+1)), policy.ConnectionLost, false},
+		{"head too long", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*(bodyMost+answerHeadMost)), policy.ConnectionLost, false},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
@@ -59,7 +59,7 @@
 			if got.outcome != k.outcome || got.reusable != k.reusable {
 				t.Errorf("outcome %d, reusable %v", got.outcome, got.reusable)
 			}
-			if (got.outcome == policy.Pass) != (string(got.body) == "hello") {
+			if (got.outcome == policy.Succeeded) != (string(got.body) == "hello") {
 				t.Errorf("body %q", got.body)
 			}
 		})
@@ -214,10 +214,10 @@
 // Guards the reading of load reports.
 func TestParseReport(t *testing.T) {
 	r := parseReport("TEXT inflight=7, queue=2, util=0.61, other=x")
-	if r.InFlight == nil || *r.InFlight != 7 || r.Queue == nil || *r.Queue != 2 || r.Busy == nil || *r.Busy != 0.61 {
+	if r.InFlight == nil || *r.InFlight != 7 || r.QueueLength == nil || *r.QueueLength != 2 || r.Utilization == nil || *r.Utilization != 0.61 {
 		t.Errorf("%+v", r)
 	}
-	if r := parseReport("TEXT inflight=NaN, queue=-2, util=0x1p3, latency_ms=1e3"); r != (policy.Report{}) {
+	if r := parseReport("TEXT inflight=NaN, queue=-2, util=0x1p3, latency_ms=1e3"); r != (policy.LoadReport{}) {
 		t.Errorf("read what are no figures: %+v", r)
 	}
 	if r := parseReport("inflight=7"); r.InFlight != nil {
@@ -244,7 +244,7 @@
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(patience))
 	text := "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 100000000\r\n\r\n" + strings.Repeat("x", 100000000)
-	if got := newConn(nc, nil, "").exchange(net.Buffers{[]byte(text)}); got.outcome != policy.NoRoute || got.reusable {
+	if got := newConn(nc, nil, "").exchange(net.Buffers{[]byte(text)}); got.outcome != policy.ConnectFailed || got.reusable {
 		t.Errorf("outcome %d, reusable %v", got.outcome, got.reusable)
 	}
 }
@@ -388,7 +388,7 @@
 	c.ask(clientRequest("merge", "00000000000000aa"))
 	broken.Store(false)
 	r.node.applyList(List{Instances: []Instance{{ID: "s-1", HostPort: b.addr, Zone: "a", Lifecycle: "SERVING"}}},
-		policy.ListPartial)
+		policy.IncrementalUpdate)
 	r.node.mu.Lock()
 	r.node.epoch += policy.Time(time.Minute)
 	r.node.mu.Unlock()
@@ -423,12 +423,12 @@
 		"TEXT util=0.61, latency_ms=14.5, inflight=7, queue=2",
 	} {
 		r := parseReport(text)
-		if r.Busy == nil || r.LatencyMS == nil || r.InFlight == nil || r.Queue == nil {
+		if r.Utilization == nil || r.LatencyMS == nil || r.InFlight == nil || r.QueueLength == nil {
 			t.Errorf("%s: not all read", text)
 			continue
 		}
-		if *r.Busy != 0.61 || *r.LatencyMS != 14.5 || *r.InFlight != 7 || *r.Queue != 2 {
-			t.Errorf("%s: read as %v, %v, %v, %v", text, *r.Busy, *r.LatencyMS, *r.InFlight, *r.Queue)
+		if *r.Utilization != 0.61 || *r.LatencyMS != 14.5 || *r.InFlight != 7 || *r.QueueLength != 2 {
+			t.Errorf("%s: read as %v, %v, %v, %v", text, *r.Utilization, *r.LatencyMS, *r.InFlight, *r.QueueLength)
 		}
 	}
 }
@@ -440,8 +440,8 @@
 }
 
 func (c charges) Step(now policy.Time, ev policy.Event, out []policy.Action) []policy.Action {
-	if e, ok := ev.(policy.Ended); ok {
-		c.got <- e.TrueUnits
+	if e, ok := ev.(policy.AttemptEnded); ok {
+		c.got <- e.ActualUnits
 	}
 	return c.module.Step(now, ev, out)
 }
@@ -452,7 +452,7 @@
 	for text, want := range map[string]float64{"3": 3, "2.5": 2.5, "-1": 0, "NaN": 0, "1e9": 0, "999999": 0, "": 0} {
 		app := startApp(t, say("HTTP/1.1 200 OK\r\nApi-Charge: "+text+"\r\nContent-Length: 2\r\n\r\nok"))
 		cfg := testConfig(t)
-		cfg.Settings.Family.MostUnits = 6
+		cfg.Settings.Service.MaxRequestUnits = 6
 		r := startNode(t, cfg, app.addr)
 		c := charges{module: r.node.gateway, got: make(chan float64, 8)}
 		r.node.mu.Lock()
--- a/internal/edge/watch.go
+++ b/internal/edge/watch.go
@@ -64,12 +64,12 @@
 }
 
 func newWatchTimes(set *config.Settings) watchTimes {
-	if set.Membership == "ask" {
+	if set.DiscoveryMode == "ask" {
 		spread := min(time.Duration(set.Gateways)*askedEach, askedSpread)
 		return watchTimes{asked: true, hold: askedHold, slack: askedSlack, answer: askedPatience,
 			spread: spread, every: min(askedSteps*spread, askedEvery)}
 	}
-	grace := set.Contract.DrainGrace
+	grace := set.Rules.DrainGrace
 	w := watchTimes{hold: pushedHold, slack: pushedAnswer, answer: pushedAnswer}
 	w.least = max(min(pushedStep, grace/pushedLeast), pushedFloor)
 	w.most = max(min(pushedSteps*w.least, grace/pushedMost), w.least)
--- a/internal/edge/watch_test.go
+++ b/internal/edge/watch_test.go
@@ -201,7 +201,7 @@
 	}
 	services := map[string]*service{"before": w.before, "after": w.after}
 	set := testConfig(t).Settings
-	set.Gateways, set.Membership, set.Contract.AskEvery = watchFleet, mode, 10*time.Second
+	set.Gateways, set.DiscoveryMode, set.Rules.SubscriptionTimeout = watchFleet, mode, 10*time.Second
 	var list List
 	if known {
 		list = List{Generation: 1, Instances: []Instance{{ID: "s-0", Lifecycle: "SERVING"}}}
--- a/internal/policy/cold_test.go
+++ b/internal/policy/cold_test.go
@@ -41,7 +41,7 @@
 // backend is a server that works on its requests in turn, as fast as it is warm. What is
 // not begun in its time is not begun at all.
 type backend struct {
-	policy.Server
+	policy.Endpoint
 	w       *world
 	lost    bool
 	idleAt  time.Duration
@@ -53,10 +53,10 @@
 
 // warmth is the part of its capacity that a server has at some time.
 func (b *backend) warmth(at time.Duration) float64 {
-	if b.Born == 0 || at >= b.Born+b.w.set.WarmUp {
+	if b.StartedAt == 0 || at >= b.StartedAt+b.w.set.SlowStartDuration {
 		return 1
 	}
-	return b.w.set.ColdFrom + (1-b.w.set.ColdFrom)*max((at-b.Born).Seconds(), 0)/b.w.set.WarmUp.Seconds()
+	return b.w.set.SlowStartCapacity + (1-b.w.set.SlowStartCapacity)*max((at-b.StartedAt).Seconds(), 0)/b.w.set.SlowStartDuration.Seconds()
 }
 
 // gateway is one of the fleet.
@@ -82,27 +82,27 @@
 	life := r.life
 	for _, a := range r.g.Step(r.w.Now, ev, nil) {
 		switch a := a.(type) {
-		case policy.Wake:
+		case policy.StartTimer:
 			r.w.After(a.After, func() {
 				if r.life == life {
-					r.step(policy.Woke{Cookie: a.Cookie})
+					r.step(policy.TimerFired{TimerID: a.TimerID})
 				}
 			})
-		case policy.Count: // nobody else asks for this customer's units
+		case policy.AddToCounter: // nobody else asks for this customer's units
 			r.w.After(ms, func() {
 				if r.life == life {
-					r.step(policy.Counted{Name: a.Name, Total: max(a.Units, 0)})
+					r.step(policy.CounterReplied{Key: a.Key, Total: max(a.Units, 0)})
 				}
 			})
-		case policy.Send:
+		case policy.StartAttempt:
 			r.send(a)
-		case policy.Refuse:
-			r.final(a.ID, false)
+		case policy.Reject:
+			r.final(a.RequestID, false)
 		case policy.Fail:
-			r.final(a.ID, false)
-		case policy.Cancel:
-			if q := r.open[a.ID]; q != nil {
-				r.end(q, a.Attempt, policy.Undone, 0)
+			r.final(a.RequestID, false)
+		case policy.CancelAttempt:
+			if q := r.open[a.RequestID]; q != nil {
+				r.end(q, a.Attempt, policy.Canceled, 0)
 			}
 		}
 	}
@@ -127,17 +127,17 @@
 		return
 	}
 	q.ended[k] = true
-	if o == policy.Pass {
+	if o == policy.Succeeded {
 		r.final(q.id, true)
 	}
-	r.step(policy.Ended{ID: q.id, Attempt: k, Server: q.servers[k], Outcome: o, Lag: r.w.Now - q.sent[k], Over: q.over,
-		Report: policy.Report{Busy: &busy}})
+	r.step(policy.AttemptEnded{RequestID: q.id, Attempt: k, Endpoint: q.servers[k], Outcome: o, Latency: r.w.Now - q.sent[k], RequestDone: q.over,
+		Report: policy.LoadReport{Utilization: &busy}})
 }
 
-func (r *gateway) send(a policy.Send) {
-	w, q, b := r.w, r.open[a.ID], r.w.servers[a.Server]
+func (r *gateway) send(a policy.StartAttempt) {
+	w, q, b := r.w, r.open[a.RequestID], r.w.servers[a.Endpoint]
 	k := len(q.sent)
-	q.sent, q.servers, q.ended = append(q.sent, w.Now), append(q.servers, a.Server), append(q.ended, false)
+	q.sent, q.servers, q.ended = append(q.sent, w.Now), append(q.servers, a.Endpoint), append(q.ended, false)
 	until := q.until
 	if a.Timeout > 0 {
 		until = min(until, w.Now+a.Timeout)
@@ -155,7 +155,7 @@
 		}
 		b.got = append(b.got, w.Now)
 		if b.waiting >= coldRoom {
-			w.After(coldTrip, func() { end(policy.Full) })
+			w.After(coldTrip, func() { end(policy.Overloaded) })
 			return
 		}
 		b.waiting++
@@ -171,7 +171,7 @@
 			fade := math.Exp(-(w.Now - b.busyAt).Seconds())
 			b.busy, b.busyAt = min(b.busy*fade+work.Seconds(), 1), w.Now
 			if !b.lost {
-				w.After(coldTrip, func() { end(policy.Pass) })
+				w.After(coldTrip, func() { end(policy.Succeeded) })
 			}
 		})
 	})
@@ -189,11 +189,11 @@
 	w.After(2500*ms, func() {
 		if r.life == life && !q.over {
 			q.over = true
-			r.step(policy.Left{ID: q.id})
+			r.step(policy.ClientDisconnected{RequestID: q.id})
 		}
 		w.After(time.Second, func() { delete(r.open, q.id) })
 	})
-	r.step(policy.Arrived{ID: q.id, Plan: 1, Customer: uint64(i)<<8 | uint64(w.tries%5), Patience: 2500 * ms, Units: 1, Spread: 1})
+	r.step(policy.RequestReceived{RequestID: q.id, Plan: 1, Tenant: uint64(i)<<8 | uint64(w.tries%5), Timeout: 2500 * ms, Units: 1, TenantGateways: 1})
 }
 
 // offer brings tries, rate a second, until a time.
@@ -208,60 +208,60 @@
 }
 
 // tell hands news of servers to all gateways, each up to a second late.
-func (w *world) tell(scope policy.ListScope, servers ...policy.Server) {
+func (w *world) tell(scope policy.UpdateScope, servers ...policy.Endpoint) {
 	for _, r := range w.rigs {
 		life := r.life
 		w.After(time.Duration(w.rng.Float64()*float64(time.Second)), func() {
 			if r.life == life {
-				r.step(policy.ServersChanged{Scope: scope, Servers: servers})
+				r.step(policy.EndpointsUpdated{Scope: scope, Endpoints: servers})
 			}
 		})
 	}
 }
 
 // list is the whole list as it is.
-func (w *world) list() (list []policy.Server) {
+func (w *world) list() (list []policy.Endpoint) {
 	for _, b := range w.order {
 		if b.State == policy.Serving && !b.lost {
-			list = append(list, b.Server)
+			list = append(list, b.Endpoint)
 		}
 	}
 	return list
 }
 
 // add starts a server.
-func (w *world) add(id string, born time.Duration) policy.Server {
-	b := &backend{w: w, Server: policy.Server{ID: id, Weight: 1, Born: born, Zone: len(w.order) % 3}}
+func (w *world) add(id string, born time.Duration) policy.Endpoint {
+	b := &backend{w: w, Endpoint: policy.Endpoint{ID: id, Weight: 1, StartedAt: born, Zone: len(w.order) % 3}}
 	w.servers[id], w.order = b, append(w.order, b)
-	return b.Server
+	return b.Endpoint
 }
 
 // restart gives a server's id a new process.
-func (w *world) restart(b *backend) policy.Server {
-	b.lost, b.Born, b.idleAt, b.got, b.State = false, w.Now, w.Now, nil, policy.Serving
-	return b.Server
+func (w *world) restart(b *backend) policy.Endpoint {
+	b.lost, b.StartedAt, b.idleAt, b.got, b.State = false, w.Now, w.Now, nil, policy.Serving
+	return b.Endpoint
 }
 
 // start gives a gateway a new life.
 func (r *gateway) start(rank int) {
 	set := r.w.set
-	set.Rank, set.Seed = rank, uint64(rank+1000*r.life+1)
+	set.GatewayIndex, set.Seed = rank, uint64(rank+1000*r.life+1)
 	g, err := policy.New(r.w.Now, set)
 	if err != nil {
 		r.w.t.Fatal(err)
 	}
 	r.life++
 	r.g, r.open = g, map[string]*clientTry{}
-	r.step(policy.ServersChanged{Scope: policy.ListOld, Servers: r.w.list()})
+	r.step(policy.EndpointsUpdated{Scope: policy.CachedUpdate, Endpoints: r.w.list()})
 }
 
 // nearest is the nearest approach of any cold server to its bound: the requests that came
 // in a time of the settings' length over N + 2 x root of N + 2, where N is what the settings
 // allow by its capacity when that time begins.
 func (w *world) nearest() (most float64) {
-	span := w.set.OverloadFor
+	span := w.set.OverloadDuration
 	for _, b := range w.order {
-		if b.Born == 0 {
+		if b.StartedAt == 0 {
 			continue
 		}
 		first := 0
@@ -269,11 +269,11 @@
 			for b.got[first] <= at-span {
 				first++
 			}
-			begin := max(at-span, b.Born)
+			begin := max(at-span, b.StartedAt)
 			if b.warmth(begin) >= 1 {
 				break
 			}
-			n := w.set.FallMultiple * b.warmth(begin) * coldCapacity * span.Seconds()
+			n := w.set.OverloadMultiple * b.warmth(begin) * coldCapacity * span.Seconds()
 			most = max(most, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
 		}
 	}
@@ -283,9 +283,9 @@
 func newWorld(t *testing.T, gateways int, uneven bool) *world {
 	t.Helper()
 	set := settings()
-	set.Gateways, set.Classes = gateways, []policy.Class{{Aim: time.Second, Deadline: 2500 * ms, Effect: policy.Repeatable, Worth: 1}}
-	set.Plans[1] = policy.Plan{Rate: 1e5, Burst: 1e6, Worth: 1} // quotas are not what this is about
-	set.ColdFrom, set.WarmUp, set.FallMultiple, set.OverloadFor = 0.27, 18*time.Second, 2.5, 3*time.Second
+	set.Gateways, set.Classes = gateways, []policy.Class{{LatencyObjective: time.Second, Deadline: 2500 * ms, Idempotency: policy.Idempotent, PriorityWeight: 1}}
+	set.Plans[1] = policy.Plan{Rate: 1e5, Burst: 1e6, PriorityWeight: 1} // quotas are not what this is about
+	set.SlowStartCapacity, set.SlowStartDuration, set.OverloadMultiple, set.OverloadDuration = 0.27, 18*time.Second, 2.5, 3*time.Second
 	set.MaxAttempts = 4
 	w := &world{t: t, rng: rand.New(rand.NewPCG(uint64(gateways), 21)), set: set, servers: map[string]*backend{}}
 	for i := range coldServers {
@@ -311,29 +311,29 @@
 func TestFleetNeverPushesAColdServerOver(t *testing.T) {
 	const usual = 0.6 * coldServers * coldCapacity
 	join := func(w *world, k int) {
-		var news []policy.Server
+		var news []policy.Endpoint
 		for i := range k {
 			news = append(news, w.add(fmt.Sprint("new", i), w.Now))
 		}
-		w.tell(policy.ListPartial, news...)
+		w.tell(policy.IncrementalUpdate, news...)
 	}
 	lose := func(w *world, each func(int) bool) (gone []*backend) {
-		var news []policy.Server
+		var news []policy.Endpoint
 		for i, b := range w.order {
 			if each(i) {
-				b.lost, b.State = true, policy.Deleted
-				gone, news = append(gone, b), append(news, b.Server)
+				b.lost, b.State = true, policy.Removed
+				gone, news = append(gone, b), append(news, b.Endpoint)
 			}
 		}
-		w.After(2*time.Second, func() { w.tell(policy.ListPartial, news...) })
+		w.After(2*time.Second, func() { w.tell(policy.IncrementalUpdate, news...) })
 		return gone
 	}
 	back := func(w *world, gone []*backend) {
-		var news []policy.Server
+		var news []policy.Endpoint
 		for _, b := range gone {
 			news = append(news, w.restart(b))
 		}
-		w.tell(policy.ListPartial, news...)
+		w.tell(policy.IncrementalUpdate, news...)
 	}
 	for _, c := range []struct {
 		name  string
@@ -353,7 +353,7 @@
 				w.After(time.Duration(i)*7*time.Second/(coldServers*6/10), func() {
 					old := w.order[i]
 					old.State = policy.Draining
-					w.tell(policy.ListPartial, old.Server, w.add(fmt.Sprint("new", i), w.Now))
+					w.tell(policy.IncrementalUpdate, old.Endpoint, w.add(fmt.Sprint("new", i), w.Now))
 				})
 			}
 		}},
--- a/internal/policy/example_test.go
+++ b/internal/policy/example_test.go
@@ -12,26 +12,26 @@
 	now := 10 * time.Second // since an epoch that all gateways share
 	g, err := policy.New(now, policy.Settings{
 		Gateways: 2, MaxAttempts: 2,
-		Classes: []policy.Class{{Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}},
-		Plans:   []policy.Plan{{Rate: 5, Burst: 10, Worth: 1}},
+		Classes: []policy.Class{{LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}},
+		Plans:   []policy.Plan{{Rate: 5, Burst: 10, PriorityWeight: 1}},
 	})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	var actions []policy.Action
-	actions = g.Step(now, policy.ServersChanged{Scope: policy.ListComplete,
-		Servers: []policy.Server{{ID: "10.0.0.1:80"}}}, actions[:0])
-	actions = g.Step(now, policy.Arrived{ID: "r1", Customer: 7, Patience: 2 * time.Second, Units: 1, Spread: 2},
+	actions = g.Step(now, policy.EndpointsUpdated{Scope: policy.FullUpdate,
+		Endpoints: []policy.Endpoint{{ID: "10.0.0.1:80"}}}, actions[:0])
+	actions = g.Step(now, policy.RequestReceived{RequestID: "r1", Tenant: 7, Timeout: 2 * time.Second, Units: 1, TenantGateways: 2},
 		actions[:0])
 	for _, a := range actions {
-		if s, ok := a.(policy.Send); ok {
-			fmt.Println("send", s.ID, "to", s.Server)
+		if s, ok := a.(policy.StartAttempt); ok {
+			fmt.Println("send", s.RequestID, "to", s.Endpoint)
 		}
 	}
 	now += 40 * time.Millisecond
-	actions = g.Step(now, policy.Ended{ID: "r1", Server: "10.0.0.1:80", Outcome: policy.Pass,
-		Lag: 40 * time.Millisecond, Over: true}, actions[:0])
+	actions = g.Step(now, policy.AttemptEnded{RequestID: "r1", Endpoint: "10.0.0.1:80", Outcome: policy.Succeeded,
+		Latency: 40 * time.Millisecond, RequestDone: true}, actions[:0])
 	fmt.Println(len(actions), "actions left")
 	// Output:
 	// send r1 to 10.0.0.1:80
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -17,24 +17,24 @@
 )
 
 // fleetOf starts n gateways that differ in rank and seed, with the same list of servers.
-func fleetOf(t *testing.T, n int, set policy.Settings, servers []policy.Server) []*rig {
+func fleetOf(t *testing.T, n int, set policy.Settings, servers []policy.Endpoint) []*rig {
 	t.Helper()
 	var rigs []*rig
 	for i := range n {
-		set.Seed, set.Rank, set.Gateways = uint64(i+1), i, n
+		set.Seed, set.GatewayIndex, set.Gateways = uint64(i+1), i, n
 		r := rigAt(t, time.Minute, set, 0)
-		r.step(policy.ServersChanged{Scope: policy.ListComplete, Servers: servers})
+		r.step(policy.EndpointsUpdated{Scope: policy.FullUpdate, Endpoints: servers})
 		rigs = append(rigs, r)
 	}
 	return rigs
 }
 
 // fleetList is a list of servers of which the first have just started.
-func fleetList(now time.Duration, cold int) (list []policy.Server) {
+func fleetList(now time.Duration, cold int) (list []policy.Endpoint) {
 	for i := range fleetServers {
-		s := policy.Server{ID: fmt.Sprint("s", i), Weight: 1}
+		s := policy.Endpoint{ID: fmt.Sprint("s", i), Weight: 1}
 		if i < cold {
-			s.Born = now
+			s.StartedAt = now
 		}
 		list = append(list, s)
 	}
@@ -45,7 +45,7 @@
 	for _, cold := range []int{3, 22, 36} {
 		t.Run(fmt.Sprint(cold, " cold"), func(t *testing.T) {
 			set := settings()
-			set.ColdFrom, set.WarmUp = 0.4, time.Hour // the cold ones stay at 0.4
+			set.SlowStartCapacity, set.SlowStartDuration = 0.4, time.Hour // the cold ones stay at 0.4
 			sends := map[string]float64{}
 			total := 0.0
 			for _, r := range fleetOf(t, fleetGateways, set, fleetList(time.Minute, cold)) {
@@ -53,24 +53,24 @@
 					r.run(10*ms, totals(0))
 					id, as := r.arrive(0, 1, 1, 1)
 					for _, s := range sent(as) {
-						sends[s.Server]++
+						sends[s.Endpoint]++
 						total++
 						r.pass(id, s)
 					}
 				}
 			}
-			can := float64(fleetServers-cold) + float64(cold)*set.ColdFrom
+			can := float64(fleetServers-cold) + float64(cold)*set.SlowStartCapacity
 			toCold, most := 0.0, 0.0
 			for i := range cold {
 				k := sends[fmt.Sprint("s", i)]
 				toCold += k
-				most = max(most, k/(total/fleetServers*set.ColdFrom))
+				most = max(most, k/(total/fleetServers*set.SlowStartCapacity))
 			}
-			if want := float64(cold) * set.ColdFrom / can; toCold/total < 0.75*want || toCold/total > 1.25*want {
+			if want := float64(cold) * set.SlowStartCapacity / can; toCold/total < 0.75*want || toCold/total > 1.25*want {
 				t.Errorf("%.3f of the work went to cold servers, which can do %.3f of it", toCold/total, want)
 			}
-			if most > set.FallMultiple {
-				t.Errorf("a cold server got %.2f times its part of the mean work, %v make it fall", most, set.FallMultiple)
+			if most > set.OverloadMultiple {
+				t.Errorf("a cold server got %.2f times its part of the mean work, %v make it fall", most, set.OverloadMultiple)
 			}
 		})
 	}
@@ -94,7 +94,7 @@
 type due struct {
 	at  time.Duration
 	rig *rig
-	ev  policy.Counted
+	ev  policy.CounterReplied
 }
 
 // through offers tries of one unit of plan 0 to gateways for a while, for each customer at the rate a second
@@ -108,13 +108,13 @@
 	take := func(r *rig, as []policy.Action) {
 		for _, a := range as {
 			switch a := a.(type) {
-			case policy.Send:
-				sentOn[owner[a.ID]]++
+			case policy.StartAttempt:
+				sentOn[owner[a.RequestID]]++
 				for _, f := range see {
-					f(owner[a.ID], r.now, true)
+					f(owner[a.RequestID], r.now, true)
 				}
-				r.pass(a.ID, a)
-			case policy.Count:
+				r.pass(a.RequestID, a)
+			case policy.AddToCounter:
 				answers = append(answers, due{l.call(r.now), r, l.add(a)})
 			}
 		}
@@ -141,8 +141,8 @@
 			r := rigs[rng.IntN(len(rigs))]
 			id := fmt.Sprint(i, ".", len(owner))
 			owner[id] = i
-			take(r, r.step(policy.Arrived{ID: id, Customer: uint64(i + 1), Patience: 2 * time.Second, Units: 1,
-				Spread: len(rigs)}))
+			take(r, r.step(policy.RequestReceived{RequestID: id, Tenant: uint64(i + 1), Timeout: 2 * time.Second, Units: 1,
+				TenantGateways: len(rigs)}))
 		}
 	}
 	return offered, sentOn
@@ -152,7 +152,7 @@
 	// Plan 0 has 4 units a second and a burst of 8; 60 gateways see a customer's try every 20 s each. Half of
 	// the customers ask for 11 units in one second of four, the others for four times their quota.
 	set := settings()
-	set.Plans[0].OverCost = 1
+	set.Plans[0].OverQuotaCost = 1
 	rate := func(i int, since time.Duration) float64 {
 		switch {
 		case i%2 == 1:
@@ -186,7 +186,7 @@
 	// The counter serves a third of what the fleet would call. What waits for it longer than tries are held is
 	// of no use, so the gateways together must call less than it serves.
 	set := settings()
-	set.Plans[0].OverCost = 1
+	set.Plans[0].OverQuotaCost = 1
 	rate := func(int, time.Duration) float64 { return 16 }
 	l := &line{numbers: numbers{}, each: 10 * ms}
 	rigs := fleetOf(t, 60, set, fleetList(0, 0))
@@ -197,7 +197,7 @@
 	if k := l.calls - before; k > 1100 || k < 300 {
 		t.Errorf("%d calls in 10 s to a counter that serves 1000", k)
 	}
-	if wait := l.idleAt - rigs[0].now; wait > 5*set.CountWait {
+	if wait := l.idleAt - rigs[0].now; wait > 5*set.CounterTimeout {
 		t.Errorf("its line is %v long", wait)
 	}
 }
@@ -236,7 +236,7 @@
 	}
 	for _, each := range []time.Duration{4 * ms, 20 * ms} { // a counter with calls to spare, and one with few
 		set := settings()
-		set.Plans[0].OverCost = 1
+		set.Plans[0].OverQuotaCost = 1
 		rigs := fleetOf(t, gateways, set, fleetList(0, 0))
 		asked, fleet := make([]bucket, customers), make([]bucket, customers)
 		for i := range asked {
--- a/internal/policy/logic.go
+++ b/internal/policy/logic.go
@@ -101,7 +101,7 @@
 	byID      map[string]*server
 	timers    map[uint64]func()
 	timerID   uint64
-	counts    map[uint64][]func(Counted) // calls under way, oldest first
+	counts    map[uint64][]func(CounterReplied) // calls under way, oldest first
 
 	slot, slotSeen    []float64            // by class: seconds for each attempt at the server, answers in it
 	lag               float64              // usual lag of an answer, seconds
@@ -114,9 +114,9 @@
 	tried, served     float64              // attempts that ended in noteSpan, and answers in time among them
 	begun             float64              // attempts sent in noteSpan
 	notedAt           Time
-	again             float64 // further attempts in hand
-	trialKind         Effect  // the least delicate effect here; only such requests try suspects
-	recalled, first   bool    // an earlier life was asked for; there was none that matters
+	again             float64     // further attempts in hand
+	trialKind         Idempotency // the least delicate effect here; only such requests try suspects
+	recalled, first   bool        // an earlier life was asked for; there was none that matters
 }
 
 // New returns a gateway that starts at now and knows nothing but its settings.
@@ -124,29 +124,29 @@
 	switch {
 	case set.Gateways < 1 || set.MaxAttempts < 1:
 		return nil, fmt.Errorf("%d gateways, %d attempts: one is the least", set.Gateways, set.MaxAttempts)
-	case set.Rank < 0 || set.Rank >= set.Gateways:
-		return nil, fmt.Errorf("rank %d is not among %d gateways", set.Rank, set.Gateways)
+	case set.GatewayIndex < 0 || set.GatewayIndex >= set.Gateways:
+		return nil, fmt.Errorf("rank %d is not among %d gateways", set.GatewayIndex, set.Gateways)
 	case len(set.Classes) == 0 || len(set.Plans) == 0:
 		return nil, errors.New("no classes or no plans")
-	case !(set.ColdFrom >= 0 && set.ColdFrom <= 1) || set.WarmUp < 0 || set.CountWait < 0:
+	case !(set.SlowStartCapacity >= 0 && set.SlowStartCapacity <= 1) || set.SlowStartDuration < 0 || set.CounterTimeout < 0:
 		return nil, errors.New("cold share outside 0 to 1, or a negative time")
 	}
 	g := &Gateway{set: set, now: now, started: now, rng: rand.New(rand.NewPCG(set.Seed, 0x62656c6c)),
 		customers: map[uint64]*customer{}, requests: map[string]*request{}, byID: map[string]*server{},
-		timers: map[uint64]func(){}, counts: map[uint64][]func(Counted){},
+		timers: map[uint64]func(){}, counts: map[uint64][]func(CounterReplied){},
 		slot: make([]float64, len(set.Classes)), slotSeen: make([]float64, len(set.Classes)),
-		again: againMost / 2, trialKind: Once, calling: 1, went: 1, stalledAt: now - standstills, worth: 1,
+		again: againMost / 2, trialKind: NonIdempotent, calling: 1, went: 1, stalledAt: now - standstills, worth: 1,
 		beyond: make([][evidences]float64, len(set.Plans))}
 	for i, c := range set.Classes {
-		if c.Aim <= 0 || c.Deadline < 0 || c.Window < 0 {
+		if c.LatencyObjective <= 0 || c.Deadline < 0 || c.DedupWindow < 0 {
 			return nil, fmt.Errorf("class %d: aim, deadline or window makes no sense", i)
 		}
-		g.slot[i] = c.Aim.Seconds() / 12 // a guess that the first answers replace
-		g.trialKind = min(g.trialKind, c.Effect)
+		g.slot[i] = c.LatencyObjective.Seconds() / 12 // a guess that the first answers replace
+		g.trialKind = min(g.trialKind, c.Idempotency)
 	}
 	for i, p := range set.Plans {
-		if !(p.Rate >= 0 && p.Burst >= 0 && p.CeilingRate >= 0 && p.CeilingBurst >= 0 &&
-			p.CeilingTolerance >= 0) || p.Open < 0 {
+		if !(p.Rate >= 0 && p.Burst >= 0 && p.HardLimitRate >= 0 && p.HardLimitBurst >= 0 &&
+			p.HardLimitTolerance >= 0) || p.MaxConcurrent < 0 {
 			return nil, fmt.Errorf("plan %d: a negative rate, burst, ceiling or cap", i)
 		}
 		for what := range evidences / 2 { // repeats mostly follow a refusal
@@ -162,30 +162,30 @@
 	g.now, g.out = now, out
 	g.beats()
 	switch ev := ev.(type) {
-	case ServersChanged:
+	case EndpointsUpdated:
 		g.serversChanged(ev)
-	case Arrived:
+	case RequestReceived:
 		g.arrived(ev)
-	case Ended:
+	case AttemptEnded:
 		g.ended(ev)
-	case Streaming:
+	case ResponseStarted:
 		g.streaming(ev)
-	case Probed:
+	case HealthCheckDone:
 		g.probed(ev)
-	case Left:
-		if r := g.requests[ev.ID]; r != nil {
+	case ClientDisconnected:
+		if r := g.requests[ev.RequestID]; r != nil {
 			g.close(r)
 		}
-	case Counted:
-		if q := g.counts[ev.Name]; len(q) > 0 {
-			if g.counts[ev.Name] = q[1:]; len(q) == 1 {
-				delete(g.counts, ev.Name)
+	case CounterReplied:
+		if q := g.counts[ev.Key]; len(q) > 0 {
+			if g.counts[ev.Key] = q[1:]; len(q) == 1 {
+				delete(g.counts, ev.Key)
 			}
 			q[0](ev)
 		}
-	case Woke:
-		if f := g.timers[ev.Cookie]; f != nil {
-			delete(g.timers, ev.Cookie)
+	case TimerFired:
+		if f := g.timers[ev.TimerID]; f != nil {
+			delete(g.timers, ev.TimerID)
 			f()
 		}
 	}
@@ -209,15 +209,15 @@
 func (g *Gateway) wake(after time.Duration, f func()) {
 	g.timerID++
 	g.timers[g.timerID] = f
-	g.do(Wake{After: max(after, 0), Cookie: g.timerID})
+	g.do(StartTimer{After: max(after, 0), TimerID: g.timerID})
 }
 
-func (g *Gateway) count(name uint64, units float64, lives time.Duration, f func(Counted)) {
+func (g *Gateway) count(name uint64, units float64, lives time.Duration, f func(CounterReplied)) {
 	called := g.now
-	g.counts[name] = append(g.counts[name], func(r Counted) {
+	g.counts[name] = append(g.counts[name], func(r CounterReplied) {
 		switch {
 		// A late answer tells of a line at the counter, in which those of all gateways wait for nothing.
-		case r.Outcome != Pass || g.now-called > time.Duration(countLate*float64(g.set.CountWait)):
+		case r.Outcome != Succeeded || g.now-called > time.Duration(countLate*float64(g.set.CounterTimeout)):
 			g.calling, g.went = max(g.calling*shareCut, shareLeast), g.went*shareForget
 		case g.calling < g.went*shareCut:
 			g.calling *= shareRegain
@@ -227,7 +227,7 @@
 		}
 		f(r)
 	})
-	g.do(Count{Name: name, Units: units, Lives: lives})
+	g.do(AddToCounter{Key: name, Units: units, TTL: lives})
 }
 
 // ---- Quota slicing: the Ticket Bank over the counter service ----
@@ -270,12 +270,12 @@
 }
 
 // customer returns the entry of a customer, new ones with an even share.
-func (g *Gateway) customer(ev Arrived) *customer {
-	c := g.customers[ev.Customer]
+func (g *Gateway) customer(ev RequestReceived) *customer {
+	c := g.customers[ev.Tenant]
 	if c == nil {
 		p := &g.set.Plans[ev.Plan]
-		c = &customer{key: ev.Customer, plan: p, spread: float64(max(ev.Spread, 1)), at: g.now, stale: true,
-			tau: maxInterval / 2, largest: ev.Units, mostUnits: g.set.MostUnits}
+		c = &customer{key: ev.Tenant, plan: p, spread: float64(max(ev.TenantGateways, 1)), at: g.now, stale: true,
+			tau: maxInterval / 2, largest: ev.Units, mostUnits: g.set.MaxRequestUnits}
 		if p.Rate > 0 {
 			c.tau = time.Duration(p.Burst / p.Rate * float64(time.Second))
 		}
@@ -289,12 +289,12 @@
 			c.ceiling = min(c.ceiling, (g.now-g.started).Seconds()*c.ceilingRate())
 		}
 		c.unearned = c.ceilingDepth() - c.ceiling
-		if g.set.Counter && p.CeilingRate > 0 && !g.recalled {
+		if g.set.CounterEnabled && p.HardLimitRate > 0 && !g.recalled {
 			g.recalled = true
 			g.recall(0)
 		}
 		g.customers[c.key] = c
-		if g.set.Counter && (p.Rate > 0 || p.Open > 0) {
+		if g.set.CounterEnabled && (p.Rate > 0 || p.MaxConcurrent > 0) {
 			c.interval = int64((g.now - c.phase()) / c.tau)
 			g.wakeAtEdge(c)
 		}
@@ -305,9 +305,9 @@
 
 // recall looks for traces of an earlier life. Without any the ceilings' shares are whole.
 func (g *Gateway) recall(back int64) {
-	g.count(g.trace(g.started, back), 0, time.Minute, func(e Counted) {
+	g.count(g.trace(g.started, back), 0, time.Minute, func(e CounterReplied) {
 		switch {
-		case e.Outcome != Pass:
+		case e.Outcome != Succeeded:
 			g.wake(traceRetry, func() { g.recall(back) })
 			return
 		case e.Total == 0 && back == 0:
@@ -325,13 +325,13 @@
 
 // leaveTraces tells later lives of this one; often, as the counter may lose what it had.
 func (g *Gateway) leaveTraces() {
-	g.count(g.trace(g.now, 0), 1, time.Minute, func(Counted) {})
+	g.count(g.trace(g.now, 0), 1, time.Minute, func(CounterReplied) {})
 	g.wake(traceEvery, g.leaveTraces)
 }
 
 // trace is the name of this gateway's traces of a while, which lasts over the next two.
 func (g *Gateway) trace(at Time, back int64) uint64 {
-	return mix(^mix(uint64(g.set.Rank))^mix(uint64(int64(at/traceSpan)-back))) >> 1
+	return mix(^mix(uint64(g.set.GatewayIndex))^mix(uint64(int64(at/traceSpan)-back))) >> 1
 }
 
 // phase shifts a customer's interval edges, alike at all gateways, to spread the counter's load.
@@ -364,14 +364,14 @@
 	name, lives := c.name(k)
 	missing := 0.0
 	if rest > 0 {
-		g.count(name, rest, lives, func(r Counted) {
-			if r.Outcome == Full || r.Outcome == NoRoute {
+		g.count(name, rest, lives, func(r CounterReplied) {
+			if r.Outcome == Overloaded || r.Outcome == ConnectFailed {
 				missing = rest // it was not added: the read makes up for it
 			}
 		})
 	}
-	g.wake(g.set.CountWait, func() {
-		g.count(name, missing, lives, func(r Counted) { g.sum(c, v, r) })
+	g.wake(g.set.CounterTimeout, func() {
+		g.count(name, missing, lives, func(r CounterReplied) { g.sum(c, v, r) })
 	})
 }
 
@@ -386,9 +386,9 @@
 }
 
 // sum takes the next slice from an interval's total.
-func (g *Gateway) sum(c *customer, v float64, r Counted) {
+func (g *Gateway) sum(c *customer, v float64, r CounterReplied) {
 	c.refill(g.now) // a mute counter keeps the last demand, as does one that lost what was added here
-	if c.stale = r.Outcome != Pass || r.Total < v*(1-1e-6); !c.stale {
+	if c.stale = r.Outcome != Succeeded || r.Total < v*(1-1e-6); !c.stale {
 		c.own += smoothing * (v - c.own)
 		c.all += smoothing * (r.Total - c.all)
 	}
@@ -442,25 +442,25 @@
 // ---- Admission ----
 
 // arrived admits a request and sends its first attempt, or refuses it at once.
-func (g *Gateway) arrived(ev Arrived) {
+func (g *Gateway) arrived(ev RequestReceived) {
 	if min(ev.Class, ev.Plan) < 0 || ev.Class >= len(g.set.Classes) || ev.Plan >= len(g.set.Plans) {
-		g.do(Fail{ID: ev.ID}) // a class or plan that the settings lack
+		g.do(Fail{RequestID: ev.RequestID}) // a class or plan that the settings lack
 		return
 	}
 	c, k := g.customer(ev), &g.set.Classes[ev.Class]
 	c.refill(g.now)
-	r := &request{id: ev.ID, class: ev.Class, kind: k, customer: c, units: ev.Units,
-		deadline: g.now + ev.Patience, aim: g.now + time.Duration(aimCut*float64(k.Aim)), repeat: ev.Repeat}
+	r := &request{id: ev.RequestID, class: ev.Class, kind: k, customer: c, units: ev.Units,
+		deadline: g.now + ev.Timeout, aim: g.now + time.Duration(aimCut*float64(k.LatencyObjective)), repeat: ev.IsRetry}
 	r.aim = min(r.aim, r.deadline)
 	g.requests[r.id] = r
-	if g.set.Counter && c.small() {
+	if g.set.CounterEnabled && c.small() {
 		g.place(r, &g.beyond[ev.Plan])
 		return
-	} else if !ev.Repeat {
+	} else if !ev.IsRetry {
 		c.offered += ev.Units // a marked repeat was offered before, perhaps elsewhere
 	}
-	ok := c.admits(ev.Units, ev.Repeat)
-	if !ok && !ev.Repeat && c.mayPass(ev.Units) && g.borrow(r) {
+	ok := c.admits(ev.Units, ev.IsRetry)
+	if !ok && !ev.IsRetry && c.mayPass(ev.Units) && g.borrow(r) {
 		return
 	}
 	g.decide(r, ok)
@@ -471,33 +471,33 @@
 func (g *Gateway) borrow(r *request) bool {
 	c := r.customer
 	at, k := g.now-c.phase(), c.interval
-	if !g.set.Counter || c.plan.Rate == 0 || c.stale || c.all > c.quota() || c.overIn == k ||
+	if !g.set.CounterEnabled || c.plan.Rate == 0 || c.stale || c.all > c.quota() || c.overIn == k ||
 		int64(at/c.tau) != k || g.rng.Float64() > g.calling ||
-		g.now-g.stalledAt < standstills || r.deadline-g.now < 2*g.set.CountWait {
+		g.now-g.stalledAt < standstills || r.deadline-g.now < 2*g.set.CounterTimeout {
 		return false
 	}
 	name, lives := c.name(k)
 	v, mine := c.offered-c.added, c.offered
 	c.added = mine
 	held := true
-	g.wake(g.set.CountWait, func() {
+	g.wake(g.set.CounterTimeout, func() {
 		if held && !r.over {
 			held = false
 			g.decide(r, false)
 		}
 	})
-	g.count(name, v, lives, func(e Counted) {
+	g.count(name, v, lives, func(e CounterReplied) {
 		c.refill(g.now)
-		if (e.Outcome == Full || e.Outcome == NoRoute) && c.interval == k {
+		if (e.Outcome == Overloaded || e.Outcome == ConnectFailed) && c.interval == k {
 			c.added -= v
 		}
 		// Who has room left has told nothing yet of this interval: the last demand stands for it.
 		elapsed := float64(at%c.tau) / float64(c.tau)
 		room := borrowShare*c.quota() - mine - max(e.Total-mine, (c.all-c.own)*elapsed)
-		ok := e.Outcome == Pass && room >= 0
+		ok := e.Outcome == Succeeded && room >= 0
 		if ok {
 			c.level = min(c.level+r.units+room/c.spread, max(c.depth(), r.units))
-		} else if e.Outcome == Pass {
+		} else if e.Outcome == Succeeded {
 			c.overIn = k
 		}
 		if held && !r.over {
@@ -515,7 +515,7 @@
 		s, expected = g.pick(r)
 	}
 	if s == nil || g.full(r, s, expected) {
-		g.refuse(r, time.Duration(adviceMost*float64(r.kind.Aim)))
+		g.refuse(r, time.Duration(adviceMost*float64(r.kind.LatencyObjective)))
 		return
 	}
 	if r.customer.plan.Rate > 0 {
@@ -528,12 +528,12 @@
 
 // mayPass tells whether this gateway's shares of the ceiling and of the cap on attempts out have room.
 func (c *customer) mayPass(units float64) bool {
-	return (c.plan.CeilingRate == 0 || c.ceiling >= units) && c.mayOpen()
+	return (c.plan.HardLimitRate == 0 || c.ceiling >= units) && c.mayOpen()
 }
 
 // mayOpen is the part of mayPass about the cap.
 func (c *customer) mayOpen() bool {
-	return c.plan.Open == 0 || c.open < max(1, int(math.Round(c.share()*float64(c.plan.Open))))
+	return c.plan.MaxConcurrent == 0 || c.open < max(1, int(math.Round(c.share()*float64(c.plan.MaxConcurrent))))
 }
 
 // admits tells whether the slice's store, the cap and the ceiling have room.
@@ -584,7 +584,7 @@
 // ceilingDepth is what this gateway owns of the ceiling's store and tolerance: the shares add up to it. Where
 // tries are placed, the counter's store holds those that it vouches for to the quota: the rest is shared.
 func (c *customer) ceilingDepth() float64 {
-	whole := c.plan.CeilingBurst + c.plan.CeilingTolerance
+	whole := c.plan.HardLimitBurst + c.plan.HardLimitTolerance
 	if c.small() {
 		whole = max(whole-c.plan.Burst, 0)
 	}
@@ -593,7 +593,7 @@
 
 // ceilingRate is what this gateway's share of the ceiling gains in a second.
 func (c *customer) ceilingRate() float64 {
-	whole := c.plan.CeilingRate
+	whole := c.plan.HardLimitRate
 	if c.small() {
 		whole = max(whole-c.plan.Rate, 0)
 	}
@@ -604,7 +604,7 @@
 
 // server is what this gateway knows of one server.
 type server struct {
-	Server
+	Endpoint
 	listed         bool    // discovery says that it serves
 	out            int     // attempts of ours that are out
 	ratioAt        Time    // when ratio was learnt
@@ -623,37 +623,37 @@
 func (s *server) gone() bool { return !s.listed && s.out == 0 }
 
 // serversChanged follows discovery. Draining and deleted servers get nothing new at once.
-func (g *Gateway) serversChanged(ev ServersChanged) {
+func (g *Gateway) serversChanged(ev EndpointsUpdated) {
 	switch {
-	case g.set.MustAsk && ev.Scope == ListOld:
-		g.do(Subscribe{})
-	case g.set.MustAsk && ev.Scope == ListError:
-		g.wake(min(g.set.AskEvery/4, time.Second), func() { g.do(Subscribe{}) })
+	case g.set.MustSubscribe && ev.Scope == CachedUpdate:
+		g.do(WatchEndpoints{})
+	case g.set.MustSubscribe && ev.Scope == FailedUpdate:
+		g.wake(min(g.set.SubscriptionTimeout/4, time.Second), func() { g.do(WatchEndpoints{}) })
 	}
 	for _, s := range g.servers {
-		s.listed = s.listed && (ev.Scope == ListPartial || ev.Scope == ListError)
+		s.listed = s.listed && (ev.Scope == IncrementalUpdate || ev.Scope == FailedUpdate)
 	}
-	for _, e := range ev.Servers {
+	for _, e := range ev.Endpoints {
 		s := g.byID[e.ID]
-		if e.State == Deleted { // where it stood still binds the repeats of what it was sent
+		if e.State == Removed { // where it stood still binds the repeats of what it was sent
 			if s != nil {
 				s.listed = false
 			}
 			continue
 		}
-		if s == nil || e.Born != s.Born {
-			fresh := server{Server: e, ratio: 1, ratioAt: g.now}
+		if s == nil || e.StartedAt != s.StartedAt {
+			fresh := server{Endpoint: e, ratio: 1, ratioAt: g.now}
 			if s == nil {
 				s = &server{}
 				g.byID[e.ID], g.servers = s, append(g.servers, s)
 				h := fnv.New64a()
 				h.Write([]byte(e.ID))
-				fresh.order = mix(h.Sum64() ^ mix(uint64(g.set.Rank)))
+				fresh.order = mix(h.Sum64() ^ mix(uint64(g.set.GatewayIndex)))
 			}
 			fresh.out, fresh.order = s.out, max(s.order, fresh.order)
 			*s = fresh // a new start: what was held against it is void
 		}
-		s.Server, s.listed = e, e.State == Serving
+		s.Endpoint, s.listed = e, e.State == Serving
 	}
 	maps.DeleteFunc(g.byID, func(_ string, s *server) bool { return s.gone() })
 	g.servers = slices.DeleteFunc(g.servers, (*server).gone)
@@ -711,7 +711,7 @@
 	// what all in reach can, so that neither warm nor cold ones have more than their share. But of the mean
 	// work it gets no more than coldMost, also where too few are left for that work, and of work that nobody
 	// answers next to nothing: all gateways together stay well below what makes it fall over.
-	share := min(1/able, max(coldMost*g.set.FallMultiple, 1)/reach)
+	share := min(1/able, max(coldMost*g.set.OverloadMultiple, 1)/reach)
 	if cold != nil && bestRank > 0 && g.rng.Float64() < coldAble*share*g.successRatio(listed) {
 		best, bestTime = cold, g.expected(cold, r.class)
 	}
@@ -756,20 +756,20 @@
 
 // mayTry tells whether r may be the trial of a suspended server, after a probe where these are allowed.
 func (g *Gateway) mayTry(s *server, r *request) bool {
-	if s.trying || g.now < s.tryAt || r.kind.Effect != g.trialKind || len(r.attempts) > 0 {
+	if s.trying || g.now < s.tryAt || r.kind.Idempotency != g.trialKind || len(r.attempts) > 0 {
 		return false
 	}
-	if g.set.MayProbe && !s.proven {
+	if g.set.AllowHealthChecks && !s.proven {
 		s.trying = true
-		g.do(Probe{Server: s.ID})
+		g.do(CheckHealth{Endpoint: s.ID})
 		return false
 	}
 	return true
 }
 
-func (g *Gateway) probed(ev Probed) {
-	if s := g.byID[ev.Server]; s != nil && s.suspended {
-		if s.trying, s.proven = false, ev.Outcome == Pass; !s.proven {
+func (g *Gateway) probed(ev HealthCheckDone) {
+	if s := g.byID[ev.Endpoint]; s != nil && s.suspended {
+		if s.trying, s.proven = false, ev.Outcome == Succeeded; !s.proven {
 			g.suspend(s)
 		}
 	}
@@ -777,51 +777,51 @@
 
 // warmth is the part of a warm server's work that a server may be sent, 1 when warm.
 func (g *Gateway) warmth(s *server) float64 {
-	age := g.now - s.Born
-	if s.Born <= 0 || age >= g.set.WarmUp {
+	age := g.now - s.StartedAt
+	if s.StartedAt <= 0 || age >= g.set.SlowStartDuration {
 		return 1
 	}
-	return g.set.ColdFrom + (1-g.set.ColdFrom)*max(age.Seconds(), 0)/g.set.WarmUp.Seconds()
+	return g.set.SlowStartCapacity + (1-g.set.SlowStartCapacity)*max(age.Seconds(), 0)/g.set.SlowStartDuration.Seconds()
 }
 
 // learn takes an outcome into account.
 func (g *Gateway) learn(r *request, a *attempt, outcome Outcome, lag float64) {
 	s := a.server
 	// A break is a sign of life too: what counts as silence is what was sent and never ended.
-	answered := outcome == Pass || outcome == Fault || outcome == Full || outcome == Broken
+	answered := outcome == Succeeded || outcome == ServerError || outcome == Overloaded || outcome == ConnectionLost
 	if answered && a.sent >= s.silentFrom {
 		s.unanswered = 0
 	}
 	slot := lag / g.queue(a.before)
-	if outcome == Pass || outcome == TimedOut || outcome == NoRoute {
+	if outcome == Succeeded || outcome == TimedOut || outcome == ConnectFailed {
 		g.note(1, float64(1-min(outcome, 1)))
 	}
-	if outcome != Pass && outcome != TimedOut && outcome != Full {
+	if outcome != Succeeded && outcome != TimedOut && outcome != Overloaded {
 		g.begun = max(g.begun-1, 0) // what breaks or is cancelled tells nothing of what servers can do
 	}
 	switch {
-	case outcome == Pass:
+	case outcome == Succeeded:
 		g.slotSeen[r.class]++
 		g.slot[r.class] += max(slotGain, 1/(g.slotSeen[r.class]+4)) * (slot - g.slot[r.class])
 		g.lag += slotGain * (lag - g.lag)
 		fallthrough
-	case outcome == Full:
+	case outcome == Overloaded:
 		x := slot / g.slot[r.class]
-		if outcome == Full {
+		if outcome == Overloaded {
 			x = 2 * s.ratio // turned away: it has more than it can do
 		}
 		s.ratio, s.ratioAt = s.ratio+ratioGain*(min(x, slotMost)-s.ratio), g.now
 	}
-	if bad := float64(min(outcome, 1)); outcome <= Fault || outcome == Broken || outcome == NoRoute {
+	if bad := float64(min(outcome, 1)); outcome <= ServerError || outcome == ConnectionLost || outcome == ConnectFailed {
 		s.errors += errorGain * (bad - s.errors) // other outcomes tell nothing of errors
 		g.errors += errorGain / 10 * (bad - g.errors)
 	}
 	if !a.trial || !s.suspended {
 		return
 	}
-	if s.trying = false; outcome == Pass {
+	if s.trying = false; outcome == Succeeded {
 		s.suspended, s.backoff, s.errors, s.unanswered = false, 0, 0, 0
-	} else if outcome != Undone || lag > g.lag {
+	} else if outcome != Canceled || lag > g.lag {
 		g.suspend(s)
 	}
 }
@@ -856,14 +856,14 @@
 		if a.server == s {
 			return false // another try belongs elsewhere
 		}
-		if a.unrun || r.kind.Effect == Repeatable {
+		if a.unrun || r.kind.Idempotency == Idempotent {
 			continue
 		}
-		if r.kind.Effect == Once || now >= a.sent+r.kind.Window {
+		if r.kind.Idempotency == NonIdempotent || now >= a.sent+r.kind.DedupWindow {
 			return false
 		}
-		if r.kind.Group == GroupZone && a.server.Zone != s.Zone ||
-			r.kind.Group == GroupCell && (a.server.Zone != s.Zone || a.server.Cell != s.Cell) {
+		if r.kind.DedupScope == DedupZone && a.server.Zone != s.Zone ||
+			r.kind.DedupScope == DedupCell && (a.server.Zone != s.Zone || a.server.Cell != s.Cell) {
 			return false
 		}
 	}
@@ -893,12 +893,12 @@
 	s.out++
 	r.customer.open++
 	timeout := time.Duration(0)
-	if r.kind.LateWorth < lateKeeps && !r.kind.Stream && r.aim > g.now {
+	if r.kind.LateWeight < lateKeeps && !r.kind.Streaming && r.aim > g.now {
 		timeout = r.aim - g.now
 	}
-	g.do(Send{ID: r.id, Server: s.ID, Timeout: timeout})
-	if len(r.attempts) == 1 && r.kind.Effect != Once && g.set.MayCopy {
-		aim := r.kind.Aim.Seconds()
+	g.do(StartAttempt{RequestID: r.id, Endpoint: s.ID, Timeout: timeout})
+	if len(r.attempts) == 1 && r.kind.Idempotency != NonIdempotent && g.set.AllowHedging {
+		aim := r.kind.LatencyObjective.Seconds()
 		after := min(max(copyAfter*expected, copyEarliest*aim), copyLatest*aim)
 		g.wake(seconds(after), func() {
 			if !r.over && !r.streamed && r.outstanding() == 1 && g.busy < copyBusy {
@@ -913,7 +913,7 @@
 	if len(r.attempts) >= min(attemptsMost, g.set.MaxAttempts) || g.again < 1 || g.now >= r.aim {
 		return false
 	}
-	if n := r.outstanding(); n > 1 || n == 1 && !g.set.MayCopy {
+	if n := r.outstanding(); n > 1 || n == 1 && !g.set.AllowHedging {
 		return false
 	}
 	s, expected := g.pick(r)
@@ -925,38 +925,38 @@
 	return true
 }
 
-func (g *Gateway) streaming(ev Streaming) {
-	if r := g.requests[ev.ID]; r != nil && ev.Attempt >= 0 && ev.Attempt < len(r.attempts) {
+func (g *Gateway) streaming(ev ResponseStarted) {
+	if r := g.requests[ev.RequestID]; r != nil && ev.Attempt >= 0 && ev.Attempt < len(r.attempts) {
 		r.streamed, r.attempts[ev.Attempt].server.unanswered = true, 0
 		g.cancelOthers(r, ev.Attempt)
 	}
 }
 
 // ended takes an attempt's outcome: the request is over, or goes on elsewhere.
-func (g *Gateway) ended(ev Ended) {
-	r := g.requests[ev.ID]
+func (g *Gateway) ended(ev AttemptEnded) {
+	r := g.requests[ev.RequestID]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].out {
 		return
 	}
 	a := &r.attempts[ev.Attempt]
-	a.out, a.unrun = false, ev.Outcome == Full || ev.Outcome == NoRoute || ev.Outcome == Unsent
+	a.out, a.unrun = false, ev.Outcome == Overloaded || ev.Outcome == ConnectFailed || ev.Outcome == NotSent
 	a.server.out--
 	r.customer.open--
-	g.learn(r, a, ev.Outcome, ev.Lag.Seconds())
-	if b := ev.Report.Busy; b != nil {
+	g.learn(r, a, ev.Outcome, ev.Latency.Seconds())
+	if b := ev.Report.Utilization; b != nil {
 		g.busy += busyGain * (min(max(*b, 0), 1) - g.busy)
 	}
-	if ev.Outcome == Pass && !r.over && g.set.TruedUp && ev.TrueUnits > 0 {
-		r.customer.level -= ev.TrueUnits - r.units
-		g.settle(r, ev.TrueUnits)
+	if ev.Outcome == Succeeded && !r.over && g.set.ActualUnitsReported && ev.ActualUnits > 0 {
+		r.customer.level -= ev.ActualUnits - r.units
+		g.settle(r, ev.ActualUnits)
 	}
 	switch {
-	case ev.Over || ev.Outcome == Pass:
+	case ev.RequestDone || ev.Outcome == Succeeded:
 		g.close(r)
 	case r.over || r.outstanding() > 0:
 		g.drop(r)
-	case ev.Outcome == Unsent || !g.tryAgain(r):
-		g.refuse(r, g.set.MaxAdvice)
+	case ev.Outcome == NotSent || !g.tryAgain(r):
+		g.refuse(r, g.set.MaxRetryAfter)
 	}
 }
 
@@ -966,17 +966,17 @@
 func (g *Gateway) refuse(r *request, wait time.Duration) {
 	harmless := true
 	for i := range r.attempts {
-		if !r.attempts[i].unrun && r.kind.Effect != Repeatable &&
-			(r.kind.Effect == Once || r.kind.Group != GroupAll) {
+		if !r.attempts[i].unrun && r.kind.Idempotency != Idempotent &&
+			(r.kind.Idempotency == NonIdempotent || r.kind.DedupScope != DedupFleet) {
 			harmless = false
 		}
 	}
-	if harmless && g.set.MayAdvise {
-		g.do(Refuse{ID: r.id, HoldOff: min(wait, g.set.MaxAdvice)})
+	if harmless && g.set.AllowRetryAfter {
+		g.do(Reject{RequestID: r.id, RetryAfter: min(wait, g.set.MaxRetryAfter)})
 	} else if harmless {
-		g.do(Refuse{ID: r.id})
+		g.do(Reject{RequestID: r.id})
 	} else {
-		g.do(Fail{ID: r.id})
+		g.do(Fail{RequestID: r.id})
 	}
 	g.close(r)
 }
@@ -992,8 +992,8 @@
 
 func (g *Gateway) cancelOthers(r *request, keep int) {
 	for i := range r.attempts {
-		if i != keep && r.attempts[i].out && g.set.MayCancel {
-			g.do(Cancel{ID: r.id, Attempt: i})
+		if i != keep && r.attempts[i].out && g.set.AllowCancel {
+			g.do(CancelAttempt{RequestID: r.id, Attempt: i})
 		}
 	}
 }
--- a/internal/policy/logic_test.go
+++ b/internal/policy/logic_test.go
@@ -18,22 +18,22 @@
 	return policy.Settings{
 		Seed: 7, Gateways: 3,
 		Classes: []policy.Class{
-			{Aim: 500 * ms, Deadline: 2 * time.Second, Effect: policy.Repeatable, Worth: 1},
-			{Aim: time.Second, Deadline: 3 * time.Second, Effect: policy.Keyed, Group: policy.GroupZone,
-				Window: 1500 * ms, Worth: 2},
-			{Aim: time.Second, Deadline: 3 * time.Second, Effect: policy.Once, Worth: 2},
-			{Aim: time.Second, Deadline: 3 * time.Second, Effect: policy.Keyed, Group: policy.GroupAll,
-				Window: 1500 * ms, Worth: 2},
+			{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, Idempotency: policy.Idempotent, PriorityWeight: 1},
+			{LatencyObjective: time.Second, Deadline: 3 * time.Second, Idempotency: policy.IdempotentByKey, DedupScope: policy.DedupZone,
+				DedupWindow: 1500 * ms, PriorityWeight: 2},
+			{LatencyObjective: time.Second, Deadline: 3 * time.Second, Idempotency: policy.NonIdempotent, PriorityWeight: 2},
+			{LatencyObjective: time.Second, Deadline: 3 * time.Second, Idempotency: policy.IdempotentByKey, DedupScope: policy.DedupFleet,
+				DedupWindow: 1500 * ms, PriorityWeight: 2},
 		},
 		Plans: []policy.Plan{
-			{Rate: 4, Burst: 8, Worth: 1},
-			{Rate: 1000, Burst: 2000, Worth: 1},
-			{Rate: 1000, Burst: 2000, CeilingRate: 6, CeilingBurst: 12, CeilingTolerance: 3, Worth: 1},
-			{Open: 3, Worth: 1},
+			{Rate: 4, Burst: 8, PriorityWeight: 1},
+			{Rate: 1000, Burst: 2000, PriorityWeight: 1},
+			{Rate: 1000, Burst: 2000, HardLimitRate: 6, HardLimitBurst: 12, HardLimitTolerance: 3, PriorityWeight: 1},
+			{MaxConcurrent: 3, PriorityWeight: 1},
 		},
-		Counter: true, CountWait: 30 * ms, MostUnits: 1,
-		ColdFrom: 0.2, WarmUp: 10 * time.Second, FallMultiple: 3, OverloadFor: 2 * time.Second,
-		MayCancel: true, MayCopy: true, MayAdvise: true, MaxAttempts: 5, MaxAdvice: time.Second,
+		CounterEnabled: true, CounterTimeout: 30 * ms, MaxRequestUnits: 1,
+		SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 3, OverloadDuration: 2 * time.Second,
+		AllowCancel: true, AllowHedging: true, AllowRetryAfter: true, MaxAttempts: 5, MaxRetryAfter: time.Second,
 	}
 }
 
@@ -44,7 +44,7 @@
 	now    time.Duration
 	timers []timer
 	serial int
-	counts []policy.Count // calls not answered yet
+	counts []policy.AddToCounter // calls not answered yet
 }
 
 type timer struct {
@@ -65,16 +65,16 @@
 		t.Fatal(err)
 	}
 	r.g = g
-	list := policy.ServersChanged{Scope: policy.ListOld}
+	list := policy.EndpointsUpdated{Scope: policy.CachedUpdate}
 	for i := range servers {
-		list.Servers = append(list.Servers, server(i))
+		list.Endpoints = append(list.Endpoints, server(i))
 	}
 	r.step(list)
 	return r
 }
 
-func server(i int) policy.Server {
-	return policy.Server{ID: fmt.Sprint("s", i), Zone: i % 2, Weight: 1}
+func server(i int) policy.Endpoint {
+	return policy.Endpoint{ID: fmt.Sprint("s", i), Zone: i % 2, Weight: 1}
 }
 
 // step hands one event over and keeps the timers and counter calls that come of it.
@@ -82,9 +82,9 @@
 	out := r.g.Step(r.now, ev, nil)
 	for _, a := range out {
 		switch a := a.(type) {
-		case policy.Wake:
-			r.timers = append(r.timers, timer{r.now + a.After, a.Cookie})
-		case policy.Count:
+		case policy.StartTimer:
+			r.timers = append(r.timers, timer{r.now + a.After, a.TimerID})
+		case policy.AddToCounter:
 			r.counts = append(r.counts, a)
 		}
 	}
@@ -92,7 +92,7 @@
 }
 
 // run lets time pass, firing timers; reply answers counter calls, nil leaves them unanswered.
-func (r *rig) run(d time.Duration, reply func(policy.Count) policy.Counted) (out []policy.Action) {
+func (r *rig) run(d time.Duration, reply func(policy.AddToCounter) policy.CounterReplied) (out []policy.Action) {
 	for end := r.now + d; ; {
 		for len(r.counts) > 0 && reply != nil {
 			c := r.counts[0]
@@ -112,7 +112,7 @@
 		t := r.timers[next]
 		r.timers = append(r.timers[:next], r.timers[next+1:]...)
 		r.now = max(r.now, t.at)
-		out = append(out, r.step(policy.Woke{Cookie: t.cookie})...)
+		out = append(out, r.step(policy.TimerFired{TimerID: t.cookie})...)
 	}
 }
 
@@ -120,13 +120,13 @@
 func (r *rig) arrive(class, plan int, customer uint64, units float64) (string, []policy.Action) {
 	r.serial++
 	id := fmt.Sprintf("%016x", r.serial)
-	return id, r.step(policy.Arrived{ID: id, Class: class, Plan: plan, Customer: customer,
-		Patience: 2 * time.Second, Units: units, Spread: 3})
+	return id, r.step(policy.RequestReceived{RequestID: id, Class: class, Plan: plan, Tenant: customer,
+		Timeout: 2 * time.Second, Units: units, TenantGateways: 3})
 }
 
-func sent(as []policy.Action) (s []policy.Send) {
+func sent(as []policy.Action) (s []policy.StartAttempt) {
 	for _, a := range as {
-		if a, ok := a.(policy.Send); ok {
+		if a, ok := a.(policy.StartAttempt); ok {
 			s = append(s, a)
 		}
 	}
@@ -143,8 +143,8 @@
 }
 
 // pass answers an attempt at once.
-func (r *rig) pass(id string, s policy.Send) {
-	r.step(policy.Ended{ID: id, Server: s.Server, Outcome: policy.Pass, Lag: 20 * ms, Over: true})
+func (r *rig) pass(id string, s policy.StartAttempt) {
+	r.step(policy.AttemptEnded{RequestID: id, Endpoint: s.Endpoint, Outcome: policy.Succeeded, Latency: 20 * ms, RequestDone: true})
 }
 
 // admitted brings n requests of one unit and counts those sent on.
@@ -167,17 +167,17 @@
 }
 
 // totals answers reads with a fixed total and adds with what was added.
-func totals(total float64) func(policy.Count) policy.Counted {
-	return func(c policy.Count) policy.Counted {
+func totals(total float64) func(policy.AddToCounter) policy.CounterReplied {
+	return func(c policy.AddToCounter) policy.CounterReplied {
 		if c.Units == 0 {
-			return policy.Counted{Name: c.Name, Total: total}
+			return policy.CounterReplied{Key: c.Key, Total: total}
 		}
-		return policy.Counted{Name: c.Name, Total: c.Units}
+		return policy.CounterReplied{Key: c.Key, Total: c.Units}
 	}
 }
 
 // steady offers 5 units an interval of 2 s and returns the units sent on over the last 20 s.
-func steady(r *rig, reply func(policy.Count) policy.Counted) (k int) {
+func steady(r *rig, reply func(policy.AddToCounter) policy.CounterReplied) (k int) {
 	for i := range 100 {
 		r.run(400*ms, reply)
 		if n := r.admitted(1, 0, 1); i >= 50 {
@@ -205,8 +205,10 @@
 }
 
 func TestMuteOrEmptiedCounterKeepsTheSlice(t *testing.T) {
-	for name, reply := range map[string]func(policy.Count) policy.Counted{
-		"mute":    func(c policy.Count) policy.Counted { return policy.Counted{Name: c.Name, Outcome: policy.TimedOut} },
+	for name, reply := range map[string]func(policy.AddToCounter) policy.CounterReplied{
+		"mute": func(c policy.AddToCounter) policy.CounterReplied {
+			return policy.CounterReplied{Key: c.Key, Outcome: policy.TimedOut}
+		},
 		"emptied": totals(0),
 	} {
 		r := newRig(t, settings(), 6)
@@ -220,10 +222,10 @@
 func TestFailedAddIsMadeUpByTheRead(t *testing.T) {
 	r := newRig(t, settings(), 6)
 	r.admitted(2, 0, 1)
-	var calls []policy.Count
-	r.run(2500*ms, func(c policy.Count) policy.Counted {
+	var calls []policy.AddToCounter
+	r.run(2500*ms, func(c policy.AddToCounter) policy.CounterReplied {
 		calls = append(calls, c)
-		return policy.Counted{Name: c.Name, Outcome: policy.Full}
+		return policy.CounterReplied{Key: c.Key, Outcome: policy.Overloaded}
 	})
 	if len(calls) != 2 || calls[0].Units != 2 || calls[1] != calls[0] {
 		t.Errorf("calls %v: want the read to add what the add did not", calls)
@@ -237,7 +239,9 @@
 	for life := range 5 {
 		reply := counter.add
 		if life == 3 {
-			reply = func(c policy.Count) policy.Counted { return policy.Counted{Name: c.Name, Outcome: policy.Full} }
+			reply = func(c policy.AddToCounter) policy.CounterReplied {
+				return policy.CounterReplied{Key: c.Key, Outcome: policy.Overloaded}
+			}
 		}
 		r := rigAt(t, time.Duration(1000+2*life)*time.Second, settings(), 6)
 		for range 20 {
@@ -257,9 +261,9 @@
 // numbers is a counter service that forgets nothing.
 type numbers map[uint64]float64
 
-func (n numbers) add(c policy.Count) policy.Counted {
-	n[c.Name] += c.Units
-	return policy.Counted{Name: c.Name, Total: n[c.Name]}
+func (n numbers) add(c policy.AddToCounter) policy.CounterReplied {
+	n[c.Key] += c.Units
+	return policy.CounterReplied{Key: c.Key, Total: n[c.Key]}
 }
 
 func TestFirstLifeHasItsShareOfTheCeiling(t *testing.T) {
@@ -284,11 +288,11 @@
 	r := newRig(t, settings(), 2)
 	gone := server(0)
 	gone.State = policy.Draining
-	r.step(policy.ServersChanged{Scope: policy.ListPartial, Servers: []policy.Server{gone}})
+	r.step(policy.EndpointsUpdated{Scope: policy.IncrementalUpdate, Endpoints: []policy.Endpoint{gone}})
 	for range 50 {
 		id, as := r.arrive(0, 1, 1, 1)
 		for _, s := range sent(as) {
-			if s.Server == "s0" {
+			if s.Endpoint == "s0" {
 				t.Fatal("sent to a draining server")
 			}
 			r.pass(id, s)
@@ -302,9 +306,9 @@
 	r := newRig(t, settings(), 1)
 	replace := func(from, to int) {
 		for i := from; i < to; i++ {
-			gone := policy.Server{ID: fmt.Sprint("n", i-1), State: policy.Deleted}
-			r.step(policy.ServersChanged{Scope: policy.ListPartial,
-				Servers: []policy.Server{gone, {ID: fmt.Sprint("n", i), Weight: 1}}})
+			gone := policy.Endpoint{ID: fmt.Sprint("n", i-1), State: policy.Removed}
+			r.step(policy.EndpointsUpdated{Scope: policy.IncrementalUpdate,
+				Endpoints: []policy.Endpoint{gone, {ID: fmt.Sprint("n", i), Weight: 1}}})
 		}
 	}
 	heap := func() uint64 {
@@ -323,18 +327,18 @@
 }
 
 func TestOnceIsNotSentTwiceNorRefusedAfterItMayHaveRun(t *testing.T) {
-	for _, o := range []policy.Outcome{policy.Fault, policy.Broken, policy.TimedOut, policy.Undone} {
+	for _, o := range []policy.Outcome{policy.ServerError, policy.ConnectionLost, policy.TimedOut, policy.Canceled} {
 		r := newRig(t, settings(), 6)
 		id, as := r.arrive(2, 1, 1, 1)
-		as = r.step(policy.Ended{ID: id, Server: sent(as)[0].Server, Outcome: o, Lag: ms})
-		if len(sent(as)) > 0 || has[policy.Refuse](as) || !has[policy.Fail](as) {
+		as = r.step(policy.AttemptEnded{RequestID: id, Endpoint: sent(as)[0].Endpoint, Outcome: o, Latency: ms})
+		if len(sent(as)) > 0 || has[policy.Reject](as) || !has[policy.Fail](as) {
 			t.Errorf("outcome %d: %v, want a failure alone", o, as)
 		}
 	}
-	for _, o := range []policy.Outcome{policy.Full, policy.NoRoute} {
+	for _, o := range []policy.Outcome{policy.Overloaded, policy.ConnectFailed} {
 		r := newRig(t, settings(), 6)
 		id, as := r.arrive(2, 1, 1, 1)
-		as = r.step(policy.Ended{ID: id, Server: sent(as)[0].Server, Outcome: o, Lag: ms})
+		as = r.step(policy.AttemptEnded{RequestID: id, Endpoint: sent(as)[0].Endpoint, Outcome: o, Latency: ms})
 		if len(sent(as)) != 1 {
 			t.Errorf("outcome %d: %v, want another attempt: it never ran", o, as)
 		}
@@ -351,14 +355,14 @@
 		set.Seed = seed
 		r := newRig(t, set, 6)
 		id, as := r.arrive(1, 1, 1, 1)
-		first := sent(as)[0].Server
-		as = r.step(policy.Ended{ID: id, Server: first, Outcome: policy.Fault, Lag: ms})
+		first := sent(as)[0].Endpoint
+		as = r.step(policy.AttemptEnded{RequestID: id, Endpoint: first, Outcome: policy.ServerError, Latency: ms})
 		for _, s := range sent(as) {
-			if zone[s.Server] != zone[first] {
+			if zone[s.Endpoint] != zone[first] {
 				t.Fatal("a keyed request that may have run left its zone")
 			}
 		}
-		if has[policy.Refuse](as) {
+		if has[policy.Reject](as) {
 			t.Fatal("refused though a repeat elsewhere may run it twice")
 		}
 	}
@@ -366,14 +370,14 @@
 
 func TestHangingServerIsLeft(t *testing.T) {
 	set := settings()
-	set.MayCopy = false
+	set.AllowHedging = false
 	r := newRig(t, set, 4)
 	late := 0
 	for i := range 400 {
 		r.run(20*ms, totals(0))
 		id, as := r.arrive(0, 1, 1, 1)
 		for _, s := range sent(as) {
-			if s.Server != "s1" {
+			if s.Endpoint != "s1" {
 				r.pass(id, s)
 				continue
 			}
@@ -381,7 +385,7 @@
 				late++
 			}
 			r.run(s.Timeout, totals(0))
-			r.step(policy.Ended{ID: id, Server: s.Server, Outcome: policy.TimedOut, Lag: s.Timeout})
+			r.step(policy.AttemptEnded{RequestID: id, Endpoint: s.Endpoint, Outcome: policy.TimedOut, Latency: s.Timeout})
 		}
 	}
 	if late > 15 {
@@ -398,7 +402,7 @@
 		id, as := r.arrive(0, 1, 1, 1)
 		for n, s := range sent(as) {
 			r.run(s.Timeout, totals(0))
-			r.step(policy.Ended{ID: id, Attempt: n, Server: s.Server, Outcome: policy.TimedOut, Lag: s.Timeout})
+			r.step(policy.AttemptEnded{RequestID: id, Attempt: n, Endpoint: s.Endpoint, Outcome: policy.TimedOut, Latency: s.Timeout})
 		}
 	}
 	r.run(20*time.Second, totals(0))
@@ -422,8 +426,8 @@
 	k := 0
 	for i := range 200 {
 		if i == 100 { // one restarts while the others go: only it is left
-			cold.Born = r.now
-			r.step(policy.ServersChanged{Scope: policy.ListComplete, Servers: []policy.Server{cold}})
+			cold.StartedAt = r.now
+			r.step(policy.EndpointsUpdated{Scope: policy.FullUpdate, Endpoints: []policy.Endpoint{cold}})
 		}
 		r.run(20*ms, totals(0))
 		id, as := r.arrive(0, 1, 1, 1)
@@ -445,7 +449,7 @@
 	r := newRig(t, settings(), 2)
 	type answer struct {
 		at time.Duration
-		ev policy.Ended
+		ev policy.AttemptEnded
 	}
 	var due []answer
 	refused := 0
@@ -464,11 +468,11 @@
 			refused++
 			continue
 		}
-		ev := policy.Ended{ID: id, Server: s[0].Server, Outcome: policy.Pass, Lag: 100 * ms, Over: true}
+		ev := policy.AttemptEnded{RequestID: id, Endpoint: s[0].Endpoint, Outcome: policy.Succeeded, Latency: 100 * ms, RequestDone: true}
 		if i%4 == 0 {
-			ev.Outcome, ev.Lag, ev.Over = policy.TimedOut, s[0].Timeout, false
+			ev.Outcome, ev.Latency, ev.RequestDone = policy.TimedOut, s[0].Timeout, false
 		}
-		due = append(due, answer{r.now + ev.Lag, ev})
+		due = append(due, answer{r.now + ev.Latency, ev})
 	}
 	if refused > 50 {
 		t.Errorf("%d of 1000 requests refused though the servers answer at their usual lag", refused)
@@ -481,7 +485,7 @@
 	repeat := func() bool {
 		r.serial++
 		id := fmt.Sprintf("%016x", r.serial)
-		as := r.step(policy.Arrived{ID: id, Customer: 1, Patience: time.Second, Units: 1, Spread: 3, Repeat: true})
+		as := r.step(policy.RequestReceived{RequestID: id, Tenant: 1, Timeout: time.Second, Units: 1, TenantGateways: 3, IsRetry: true})
 		for _, s := range sent(as) {
 			r.pass(id, s)
 			return true
@@ -521,15 +525,15 @@
 	calls := func(o policy.Outcome) (k int) {
 		r := newRig(t, settings(), 6)
 		for range 100 {
-			r.run(400*ms, func(c policy.Count) policy.Counted {
+			r.run(400*ms, func(c policy.AddToCounter) policy.CounterReplied {
 				k++
-				return policy.Counted{Name: c.Name, Outcome: o, Total: 3}
+				return policy.CounterReplied{Key: c.Key, Outcome: o, Total: 3}
 			})
 			r.admitted(1, 0, 1)
 		}
 		return k
 	}
-	if well, failing := calls(policy.Pass), calls(policy.Full); failing*2 > well || failing == 0 {
+	if well, failing := calls(policy.Succeeded), calls(policy.Overloaded); failing*2 > well || failing == 0 {
 		t.Errorf("%d calls in 40 s while they fail, %d while they pass", failing, well)
 	}
 }
@@ -545,7 +549,7 @@
 				k++
 			}
 			r.run(s.Timeout, totals(0))
-			r.step(policy.Ended{ID: id, Attempt: n, Server: s.Server, Outcome: policy.TimedOut, Lag: s.Timeout})
+			r.step(policy.AttemptEnded{RequestID: id, Attempt: n, Endpoint: s.Endpoint, Outcome: policy.TimedOut, Latency: s.Timeout})
 		}
 	}
 	if k == 0 {
@@ -558,7 +562,7 @@
 	r := newRig(t, settings(), 6)
 	id, as := r.arrive(0, 3, 5, 1)
 	first := sent(as)
-	if _, as := r.arrive(0, 3, 5, 1); len(first) != 1 || !has[policy.Refuse](as) {
+	if _, as := r.arrive(0, 3, 5, 1); len(first) != 1 || !has[policy.Reject](as) {
 		t.Fatal("want one attempt out and the next request refused")
 	}
 	r.pass(id, first[0])
@@ -569,20 +573,20 @@
 
 func TestSubscribesWhereDiscoveryMustBeAsked(t *testing.T) {
 	set := settings()
-	set.MustAsk, set.AskEvery = true, 8*time.Second
+	set.MustSubscribe, set.SubscriptionTimeout = true, 8*time.Second
 	g, err := policy.New(0, set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if as := g.Step(0, policy.ServersChanged{Scope: policy.ListOld}, nil); !has[policy.Subscribe](as) {
+	if as := g.Step(0, policy.EndpointsUpdated{Scope: policy.CachedUpdate}, nil); !has[policy.WatchEndpoints](as) {
 		t.Error("no subscription at the start")
 	}
-	as := g.Step(time.Second, policy.ServersChanged{Scope: policy.ListError}, nil)
+	as := g.Step(time.Second, policy.EndpointsUpdated{Scope: policy.FailedUpdate}, nil)
 	if len(as) == 0 {
 		t.Fatal("after a failure: no timer")
 	}
-	w := as[len(as)-1].(policy.Wake)
-	if as := g.Step(time.Second+w.After, policy.Woke{Cookie: w.Cookie}, nil); !has[policy.Subscribe](as) {
+	w := as[len(as)-1].(policy.StartTimer)
+	if as := g.Step(time.Second+w.After, policy.TimerFired{TimerID: w.TimerID}, nil); !has[policy.WatchEndpoints](as) {
 		t.Error("no new subscription after a failure")
 	}
 }
@@ -590,13 +594,13 @@
 func TestColdFleetIsStillUsed(t *testing.T) {
 	// With every server cold and nothing sent yet, a meter by own sends alone would give nothing for ever.
 	set := settings()
-	set.WarmUp = time.Minute
+	set.SlowStartDuration = time.Minute
 	r := newRig(t, set, 0)
-	list := policy.ServersChanged{Scope: policy.ListComplete}
+	list := policy.EndpointsUpdated{Scope: policy.FullUpdate}
 	for i := range 3 {
 		s := server(i)
-		s.Born = r.now
-		list.Servers = append(list.Servers, s)
+		s.StartedAt = r.now
+		list.Endpoints = append(list.Endpoints, s)
 	}
 	r.step(list)
 	r.run(10*time.Second, nil)
@@ -610,11 +614,11 @@
 	// A third of the burst of 8 is 2.67; a guess of 1 that truly was 3 leaves less than nothing.
 	for units, want := range map[float64]int{1: 1, 3: 0} {
 		set := settings()
-		set.TruedUp = true
+		set.ActualUnitsReported = true
 		r := newRig(t, set, 6)
 		id, as := r.arrive(0, 0, 1, 1)
-		r.step(policy.Ended{ID: id, Server: sent(as)[0].Server, Outcome: policy.Pass, Lag: 20 * ms, Over: true,
-			TrueUnits: units})
+		r.step(policy.AttemptEnded{RequestID: id, Endpoint: sent(as)[0].Endpoint, Outcome: policy.Succeeded, Latency: 20 * ms, RequestDone: true,
+			ActualUnits: units})
 		if k := r.admitted(1, 0, 1); k != want {
 			t.Errorf("after %v true units %d requests let in, want %d", units, k, want)
 		}
@@ -623,38 +627,38 @@
 
 func TestStartedStreamIsLeftAlone(t *testing.T) {
 	set := settings()
-	set.Classes[0].Stream = true
+	set.Classes[0].Streaming = true
 	r := newRig(t, set, 6)
 	id, as := r.arrive(0, 1, 1, 1)
 	first := sent(as)[0]
 	if first.Timeout != 0 {
 		t.Errorf("a streamed attempt has a time-out of %v", first.Timeout)
 	}
-	r.step(policy.Streaming{ID: id, Server: first.Server, Lag: 20 * ms})
+	r.step(policy.ResponseStarted{RequestID: id, Endpoint: first.Endpoint, Latency: 20 * ms})
 	if as := r.run(10*time.Second, totals(0)); len(sent(as)) > 0 {
 		t.Error("a copy was sent of a stream that had started")
 	}
-	if as := r.step(policy.Left{ID: id}); has[policy.Cancel](as) {
+	if as := r.step(policy.ClientDisconnected{RequestID: id}); has[policy.CancelAttempt](as) {
 		t.Error("a started stream was called off")
 	}
 }
 
 func TestSuspectsAreProbedFirstWhereAllowed(t *testing.T) {
 	set := settings()
-	set.MayCopy, set.MayProbe = false, true
+	set.AllowHedging, set.AllowHealthChecks = false, true
 	r := newRig(t, set, 4)
 	probed, sentAfter := 0, 0
 	for range 300 {
 		r.run(20*ms, totals(0))
 		id, as := r.arrive(0, 1, 1, 1)
 		for _, a := range as {
-			if p, ok := a.(policy.Probe); ok {
+			if p, ok := a.(policy.CheckHealth); ok {
 				probed++
-				r.step(policy.Probed{Server: p.Server, Outcome: policy.TimedOut})
+				r.step(policy.HealthCheckDone{Endpoint: p.Endpoint, Outcome: policy.TimedOut})
 			}
 		}
 		for _, s := range sent(as) {
-			if s.Server != "s1" {
+			if s.Endpoint != "s1" {
 				r.pass(id, s)
 				continue
 			}
@@ -662,7 +666,7 @@
 				sentAfter++
 			}
 			r.run(s.Timeout, totals(0))
-			r.step(policy.Ended{ID: id, Server: s.Server, Outcome: policy.TimedOut, Lag: s.Timeout})
+			r.step(policy.AttemptEnded{RequestID: id, Endpoint: s.Endpoint, Outcome: policy.TimedOut, Latency: s.Timeout})
 		}
 	}
 	if probed == 0 || sentAfter > 0 {
@@ -673,11 +677,11 @@
 func TestSlowCounterStillGivesTheSlice(t *testing.T) {
 	// The adds are answered too late, yet they arrived, and the reads tell the sum.
 	r := newRig(t, settings(), 6)
-	k := steady(r, func(c policy.Count) policy.Counted {
+	k := steady(r, func(c policy.AddToCounter) policy.CounterReplied {
 		if c.Units > 0 {
-			return policy.Counted{Name: c.Name, Outcome: policy.TimedOut}
+			return policy.CounterReplied{Key: c.Key, Outcome: policy.TimedOut}
 		}
-		return policy.Counted{Name: c.Name, Total: 20}
+		return policy.CounterReplied{Key: c.Key, Total: 20}
 	})
 	if k < 14 || k > 24 {
 		t.Errorf("a quarter of the demand got %d of 80 units, want about 20", k)
@@ -686,7 +690,7 @@
 
 func TestWithoutCounterTheSplitIsEven(t *testing.T) {
 	set := settings()
-	set.Counter = false
+	set.CounterEnabled = false
 	r := newRig(t, set, 6)
 	k := 0
 	for range 200 { // 20 s: a third of 4 units a second, and of the burst
@@ -700,21 +704,21 @@
 
 func TestFastFailingServerIsLeft(t *testing.T) {
 	set := settings()
-	set.MayCopy = false
+	set.AllowHedging = false
 	r := newRig(t, set, 4)
 	late := 0
 	for i := range 400 {
 		r.run(20*ms, totals(0))
 		id, as := r.arrive(2, 1, 1, 1)
 		for _, s := range sent(as) {
-			if s.Server != "s1" {
+			if s.Endpoint != "s1" {
 				r.pass(id, s)
 				continue
 			}
 			if i > 100 {
 				late++
 			}
-			r.step(policy.Ended{ID: id, Server: s.Server, Outcome: policy.Fault, Lag: ms})
+			r.step(policy.AttemptEnded{RequestID: id, Endpoint: s.Endpoint, Outcome: policy.ServerError, Latency: ms})
 		}
 	}
 	if late > 3 {
@@ -725,7 +729,7 @@
 func TestBadSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*policy.Settings){
 		"no gateways":   func(s *policy.Settings) { s.Gateways = 0 },
-		"rank":          func(s *policy.Settings) { s.Rank = 3 },
+		"rank":          func(s *policy.Settings) { s.GatewayIndex = 3 },
 		"no classes":    func(s *policy.Settings) { s.Classes = nil },
 		"no plans":      func(s *policy.Settings) { s.Plans = nil },
 		"negative rate": func(s *policy.Settings) { s.Plans[0].Rate = -1 },
@@ -766,7 +770,7 @@
 func play(t *testing.T, seed uint64) (all []policy.Action) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := settings()
-	set.MayCancel, set.MayCopy = seed%2 == 0, seed%3 != 0
+	set.AllowCancel, set.AllowHedging = seed%2 == 0, seed%3 != 0
 	r := newRig(t, set, 5)
 	fates, order := map[string]*fate{}, []string{}
 	zone := map[string]int{}
@@ -778,35 +782,35 @@
 		all = append(all, as...)
 		for _, a := range as {
 			switch a := a.(type) {
-			case policy.Send:
-				f := fates[a.ID]
+			case policy.StartAttempt:
+				f := fates[a.RequestID]
 				out := 0
 				for _, tr := range f.tries {
 					if tr.state == 0 {
 						out++
 					}
-					if tr.state == 1 || set.Classes[f.class].Effect == policy.Repeatable {
+					if tr.state == 1 || set.Classes[f.class].Idempotency == policy.Idempotent {
 						continue
 					}
 					c := set.Classes[f.class]
-					if c.Effect == policy.Once || r.now > tr.at+c.Window ||
-						c.Group == policy.GroupZone && zone[tr.server] != zone[a.Server] {
-						t.Fatalf("seed %d: class %d sent again to %s after %+v", seed, f.class, a.Server, *tr)
+					if c.Idempotency == policy.NonIdempotent || r.now > tr.at+c.DedupWindow ||
+						c.DedupScope == policy.DedupZone && zone[tr.server] != zone[a.Endpoint] {
+						t.Fatalf("seed %d: class %d sent again to %s after %+v", seed, f.class, a.Endpoint, *tr)
 					}
 				}
-				if f.over || a.Server == drained || len(f.tries) >= set.MaxAttempts || out > 1 || out > 0 && !set.MayCopy {
-					t.Fatalf("seed %d: send of %s to %s is not allowed", seed, a.ID, a.Server)
+				if f.over || a.Endpoint == drained || len(f.tries) >= set.MaxAttempts || out > 1 || out > 0 && !set.AllowHedging {
+					t.Fatalf("seed %d: send of %s to %s is not allowed", seed, a.RequestID, a.Endpoint)
 				}
 				ends := f.deadline
 				if a.Timeout > 0 {
 					ends = min(ends, r.now+a.Timeout)
 				}
-				f.tries = append(f.tries, &try{server: a.Server, at: r.now, ends: ends})
-			case policy.Refuse:
-				f := fates[a.ID]
+				f.tries = append(f.tries, &try{server: a.Endpoint, at: r.now, ends: ends})
+			case policy.Reject:
+				f := fates[a.RequestID]
 				for _, tr := range f.tries {
 					c := set.Classes[f.class]
-					if tr.state != 1 && (c.Effect == policy.Once || c.Effect == policy.Keyed && c.Group != policy.GroupAll) {
+					if tr.state != 1 && (c.Idempotency == policy.NonIdempotent || c.Idempotency == policy.IdempotentByKey && c.DedupScope != policy.DedupFleet) {
 						t.Fatalf("seed %d: class %d refused after it may have run", seed, f.class)
 					}
 				}
@@ -815,12 +819,12 @@
 				}
 				f.over = true
 			case policy.Fail:
-				if fates[a.ID].over {
+				if fates[a.RequestID].over {
 					t.Fatalf("seed %d: two answers", seed)
 				}
-				fates[a.ID].over = true
-			case policy.Cancel:
-				if !set.MayCancel {
+				fates[a.RequestID].over = true
+			case policy.CancelAttempt:
+				if !set.AllowCancel {
 					t.Fatalf("seed %d: cancel is not allowed", seed)
 				}
 			}
@@ -831,15 +835,15 @@
 		if i == 700 {
 			s := server(3)
 			s.State, drained = policy.Draining, s.ID
-			check(r.step(policy.ServersChanged{Scope: policy.ListPartial, Servers: []policy.Server{s}}))
+			check(r.step(policy.EndpointsUpdated{Scope: policy.IncrementalUpdate, Endpoints: []policy.Endpoint{s}}))
 		}
 		r.serial++
 		id := fmt.Sprintf("%016x", r.serial)
 		patience := time.Duration(500+rng.IntN(1500)) * ms
 		fates[id] = &fate{class: rng.IntN(4), deadline: r.now + patience}
 		order = append(order, id)
-		check(r.step(policy.Arrived{ID: id, Class: fates[id].class, Plan: rng.IntN(4), Customer: uint64(rng.IntN(6)),
-			Patience: patience, Units: float64(1 + rng.IntN(3)), Spread: 3}))
+		check(r.step(policy.RequestReceived{RequestID: id, Class: fates[id].class, Plan: rng.IntN(4), Tenant: uint64(rng.IntN(6)),
+			Timeout: patience, Units: float64(1 + rng.IntN(3)), TenantGateways: 3}))
 		for _, id := range order {
 			f := fates[id]
 			for n := 0; n < len(f.tries); n++ {
@@ -847,18 +851,18 @@
 				if tr.state != 0 || r.now < tr.ends && rng.IntN(8) > 0 {
 					continue
 				}
-				ev := policy.Ended{ID: id, Attempt: n, Server: tr.server, Outcome: policy.TimedOut, Lag: r.now - tr.at}
+				ev := policy.AttemptEnded{RequestID: id, Attempt: n, Endpoint: tr.server, Outcome: policy.TimedOut, Latency: r.now - tr.at}
 				if r.now < tr.ends {
 					ev.Outcome = policy.Outcome(rng.IntN(6))
 				}
 				tr.state = 2
-				if ev.Outcome == policy.Full || ev.Outcome == policy.NoRoute {
+				if ev.Outcome == policy.Overloaded || ev.Outcome == policy.ConnectFailed {
 					tr.state = 1
 				}
-				if ev.Outcome == policy.Pass && !f.over {
+				if ev.Outcome == policy.Succeeded && !f.over {
 					f.over = true
 				}
-				ev.Over = f.over
+				ev.RequestDone = f.over
 				check(r.step(ev))
 			}
 		}
@@ -875,14 +879,14 @@
 	// Found in incident i2861ff: all servers fall behind, and a gateway of few attempts sees no queue.
 	sends := func(lost int) (k int) {
 		set := settings()
-		set.MayCopy, set.Gateways = false, 100
+		set.AllowHedging, set.Gateways = false, 100
 		r := newRig(t, set, 20)
 		for i := range 400 {
 			r.run(250*ms, totals(0))
 			id, as := r.arrive(2, 1, 1, 1)
 			for _, s := range sent(as) {
 				if k++; i%10 < lost {
-					r.step(policy.Ended{ID: id, Server: s.Server, Outcome: policy.TimedOut, Lag: s.Timeout})
+					r.step(policy.AttemptEnded{RequestID: id, Endpoint: s.Endpoint, Outcome: policy.TimedOut, Latency: s.Timeout})
 				} else {
 					r.pass(id, s)
 				}
@@ -899,19 +903,19 @@
 	// Of a quota of 8 an interval one of 100 gateways has less than a request: the sum decides, not the slice.
 	place := func(total float64, patience time.Duration) (asked, admitted int) {
 		set := settings()
-		set.Plans[0].OverCost, set.CountWait = 1, 400*ms
+		set.Plans[0].OverQuotaCost, set.CounterTimeout = 1, 400*ms
 		r := newRig(t, set, 6)
 		for i := range 40 {
 			r.serial++
 			id := fmt.Sprintf("%016x", r.serial)
-			as := r.step(policy.Arrived{ID: id, Customer: uint64(i), Patience: patience, Units: 1, Spread: 100})
-			if has[policy.Count](as) {
+			as := r.step(policy.RequestReceived{RequestID: id, Tenant: uint64(i), Timeout: patience, Units: 1, TenantGateways: 100})
+			if has[policy.AddToCounter](as) {
 				asked++
 				if len(sent(as)) > 0 && patience > time.Second {
 					t.Error("sent before the sum was read")
 				}
 				c := r.counts[len(r.counts)-1]
-				as = append(as, r.step(policy.Counted{Name: c.Name, Total: total * c.Units})...)
+				as = append(as, r.step(policy.CounterReplied{Key: c.Key, Total: total * c.Units})...)
 			}
 			for _, s := range sent(as) {
 				admitted++
@@ -937,9 +941,9 @@
 		others float64
 		reply  policy.Outcome
 		want   bool
-	}{{0, policy.Pass, true}, {100, policy.Pass, false}, {0, policy.TimedOut, false}} {
+	}{{0, policy.Succeeded, true}, {100, policy.Succeeded, false}, {0, policy.TimedOut, false}} {
 		set := settings()
-		set.Plans[0] = policy.Plan{Rate: 10, Burst: 20, Worth: 1}
+		set.Plans[0] = policy.Plan{Rate: 10, Burst: 20, PriorityWeight: 1}
 		r, counter := newRig(t, set, 6), numbers{}
 		for range 40 { // well under the quota, by the sums as well
 			r.admitted(1, 0, 9)
@@ -953,11 +957,11 @@
 			if len(sent(as)) > 0 && i < 40 {
 				continue
 			}
-			if has[policy.Refuse](as) || !has[policy.Count](as) {
+			if has[policy.Reject](as) || !has[policy.AddToCounter](as) {
 				t.Fatalf("try %d: no call before a refusal: %v", i, as)
 			}
 			c := r.counts[len(r.counts)-1]
-			as = r.step(policy.Counted{Name: c.Name, Outcome: k.reply, Total: counter.add(c).Total + k.others})
+			as = r.step(policy.CounterReplied{Key: c.Key, Outcome: k.reply, Total: counter.add(c).Total + k.others})
 			if got := len(sent(as)) > 0; got != k.want {
 				t.Errorf("others' units %v, outcome %d: sent on %v", k.others, k.reply, got)
 			}
@@ -974,17 +978,17 @@
 	for i := range 40 {
 		r.serial++
 		id := fmt.Sprintf("%016x", r.serial)
-		as := r.step(policy.Arrived{ID: id, Customer: uint64(i), Patience: 2 * time.Second, Units: 1, Spread: 100})
-		if len(sent(as)) > 0 || has[policy.Refuse](as) {
+		as := r.step(policy.RequestReceived{RequestID: id, Tenant: uint64(i), Timeout: 2 * time.Second, Units: 1, TenantGateways: 100})
+		if len(sent(as)) > 0 || has[policy.Reject](as) {
 			continue
 		}
 		held++
 		c := r.counts[len(r.counts)-1]
 		as = r.run(30*ms, nil)
-		if len(sent(as)) == 0 && !has[policy.Refuse](as) {
+		if len(sent(as)) == 0 && !has[policy.Reject](as) {
 			t.Fatal("a try is still held after CountWait")
 		}
-		if as = r.step(policy.Counted{Name: c.Name, Total: 1}); len(sent(as)) > 0 || has[policy.Refuse](as) {
+		if as = r.step(policy.CounterReplied{Key: c.Key, Total: 1}); len(sent(as)) > 0 || has[policy.Reject](as) {
 			t.Fatal("a try is decided twice")
 		}
 	}
@@ -1000,9 +1004,9 @@
 	r.now += 2 * time.Second // events come late
 	for i := range 20 {
 		r.serial++
-		as := r.step(policy.Arrived{ID: fmt.Sprintf("%016x", r.serial), Customer: uint64(i), Patience: time.Second,
-			Units: 1, Spread: 100})
-		if len(sent(as)) == 0 && !has[policy.Refuse](as) {
+		as := r.step(policy.RequestReceived{RequestID: fmt.Sprintf("%016x", r.serial), Tenant: uint64(i), Timeout: time.Second,
+			Units: 1, TenantGateways: 100})
+		if len(sent(as)) == 0 && !has[policy.Reject](as) {
 			t.Fatal("a try is held by a gateway that stands still now and then")
 		}
 	}
@@ -1012,13 +1016,13 @@
 	// Found in incident i530123: hundreds of gateways, each connected to every server and knowing none.
 	used := func(rank int) map[string]bool {
 		set := settings()
-		set.Gateways, set.Rank = 200, rank
+		set.Gateways, set.GatewayIndex = 200, rank
 		r := newRig(t, set, 100)
 		seen := map[string]bool{}
 		for range 500 {
 			id, as := r.arrive(0, 1, 1, 1)
 			for _, s := range sent(as) {
-				seen[s.Server] = true
+				seen[s.Endpoint] = true
 				r.pass(id, s)
 			}
 		}
@@ -1043,20 +1047,20 @@
 // 40 s before a shared counter, of whose calls a part is turned away, and returns the units sent on.
 func fleet(t *testing.T, spread int, times float64, away float64) (k float64) {
 	set := settings()
-	set.Gateways, set.Plans[0].OverCost = spread, 1
+	set.Gateways, set.Plans[0].OverQuotaCost = spread, 1
 	rng := rand.New(rand.NewPCG(3, uint64(spread)))
 	var rigs []*rig
 	for i := range spread {
-		set.Rank, set.Seed = i, uint64(i)
+		set.GatewayIndex, set.Seed = i, uint64(i)
 		rigs = append(rigs, newRig(t, set, 6))
 	}
 	sums, now := map[uint64]float64{}, 1000*time.Second
-	reply := func(c policy.Count) policy.Counted {
+	reply := func(c policy.AddToCounter) policy.CounterReplied {
 		if rng.Float64() < away {
-			return policy.Counted{Name: c.Name, Outcome: policy.Full}
+			return policy.CounterReplied{Key: c.Key, Outcome: policy.Overloaded}
 		}
-		sums[c.Name] += c.Units
-		return policy.Counted{Name: c.Name, Total: sums[c.Name]}
+		sums[c.Key] += c.Units
+		return policy.CounterReplied{Key: c.Key, Total: sums[c.Key]}
 	}
 	for i := range int(160 * times) {
 		at := 1000*time.Second + time.Duration(float64(i)/(4*times)*1e9)
@@ -1071,7 +1075,7 @@
 		r := rigs[rng.IntN(spread)]
 		r.serial++
 		id := fmt.Sprintf("%016x", r.serial)
-		as := r.step(policy.Arrived{ID: id, Customer: 1, Patience: 2 * time.Second, Units: 1, Spread: spread})
+		as := r.step(policy.RequestReceived{RequestID: id, Tenant: 1, Timeout: 2 * time.Second, Units: 1, TenantGateways: spread})
 		for _, s := range sent(append(as, r.run(ms, reply)...)) {
 			k++
 			r.pass(id, s)
@@ -1111,8 +1115,8 @@
 			r.run(10*ms, totals(0))
 			id, as := r.arrive(0, 1, 1, 1)
 			for _, s := range sent(as) {
-				r.step(policy.Ended{ID: id, Server: s.Server, Outcome: policy.Pass, Lag: 20 * ms, Over: true,
-					Report: policy.Report{Busy: &c.busy}})
+				r.step(policy.AttemptEnded{RequestID: id, Endpoint: s.Endpoint, Outcome: policy.Succeeded, Latency: 20 * ms, RequestDone: true,
+					Report: policy.LoadReport{Utilization: &c.busy}})
 			}
 		}
 		if _, as := r.arrive(0, 1, 1, 1); len(sent(as)) != 1 {
@@ -1127,12 +1131,12 @@
 func TestTrueUnitsSettleThePlacedTries(t *testing.T) {
 	for units, want := range map[float64]float64{1: 1, 3: 3} {
 		set := settings()
-		set.TruedUp, set.Plans[0].OverCost = true, 1
+		set.ActualUnitsReported, set.Plans[0].OverQuotaCost = true, 1
 		r := newRig(t, set, 6)
 		counter := numbers{}
-		r.step(policy.Arrived{ID: "a", Customer: 1, Patience: 2 * time.Second, Units: 1, Spread: 100})
+		r.step(policy.RequestReceived{RequestID: "a", Tenant: 1, Timeout: 2 * time.Second, Units: 1, TenantGateways: 100})
 		for _, s := range sent(r.run(ms, counter.add)) {
-			r.step(policy.Ended{ID: s.ID, Server: s.Server, Outcome: policy.Pass, Lag: 20 * ms, Over: true, TrueUnits: units})
+			r.step(policy.AttemptEnded{RequestID: s.RequestID, Endpoint: s.Endpoint, Outcome: policy.Succeeded, Latency: 20 * ms, RequestDone: true, ActualUnits: units})
 		}
 		r.run(ms, counter.add)
 		held := 0.0
@@ -1142,7 +1146,7 @@
 		// The number also holds what had refilled a full store before the try.
 		r2 := newRig(t, set, 6)
 		before := numbers{}
-		r2.step(policy.Arrived{ID: "a", Customer: 1, Patience: 2 * time.Second, Units: 1, Spread: 100})
+		r2.step(policy.RequestReceived{RequestID: "a", Tenant: 1, Timeout: 2 * time.Second, Units: 1, TenantGateways: 100})
 		r2.run(ms, before.add)
 		base := 0.0
 		for _, n := range before {
@@ -1165,27 +1169,27 @@
 	}
 	for _, cancel := range []bool{true, false} {
 		set := settings()
-		set.MayCancel = cancel
+		set.AllowCancel = cancel
 		r := newRig(t, set, 8)
 		id, as := r.arrive(0, 1, 1, 1)
 		s := sent(as)
 		if len(s) != 1 {
 			t.Fatalf("sent %v", s)
 		}
-		gone(t, r.step(policy.Left{ID: id}))
+		gone(t, r.step(policy.ClientDisconnected{RequestID: id}))
 		gone(t, r.run(time.Second, totals(0))) // a copy's time
-		gone(t, r.step(policy.Ended{ID: id, Server: s[0].Server, Outcome: policy.Full, Lag: time.Second, Over: true}))
+		gone(t, r.step(policy.AttemptEnded{RequestID: id, Endpoint: s[0].Endpoint, Outcome: policy.Overloaded, Latency: time.Second, RequestDone: true}))
 		gone(t, r.run(time.Second, totals(0)))
 	}
-	for _, answer := range []policy.Outcome{policy.Pass, policy.Full, policy.TimedOut, -1} {
+	for _, answer := range []policy.Outcome{policy.Succeeded, policy.Overloaded, policy.TimedOut, -1} {
 		set := settings()
-		set.Plans[0].OverCost = 1
+		set.Plans[0].OverQuotaCost = 1
 		r := newRig(t, set, 8)
 		id, held := "", false
 		for i := 0; i < 100 && !held; i++ { // a part of the tries calls
 			id = fmt.Sprintf("%016x", i)
-			as := r.step(policy.Arrived{ID: id, Customer: uint64(i), Patience: 2 * time.Second, Units: 1, Spread: 60})
-			held = has[policy.Count](as) && len(sent(as)) == 0
+			as := r.step(policy.RequestReceived{RequestID: id, Tenant: uint64(i), Timeout: 2 * time.Second, Units: 1, TenantGateways: 60})
+			held = has[policy.AddToCounter](as) && len(sent(as)) == 0
 			for _, s := range sent(as) {
 				r.pass(id, s)
 			}
@@ -1193,9 +1197,9 @@
 		if !held {
 			t.Fatal("no try is held for the counter")
 		}
-		gone(t, r.step(policy.Left{ID: id}))
-		reply := func(c policy.Count) policy.Counted {
-			return policy.Counted{Name: c.Name, Outcome: answer, Total: max(c.Units, 0)}
+		gone(t, r.step(policy.ClientDisconnected{RequestID: id}))
+		reply := func(c policy.AddToCounter) policy.CounterReplied {
+			return policy.CounterReplied{Key: c.Key, Outcome: answer, Total: max(c.Units, 0)}
 		}
 		if answer < 0 {
 			reply = nil
--- a/internal/policy/place.go
+++ b/internal/policy/place.go
@@ -73,12 +73,12 @@
 		what += evidences / 2
 	}
 	// What a blind decision loses at most a unit of worth: what was let in beyond the quota, or refused.
-	q, cost := beyond[what], c.plan.OverCost-c.plan.OverWorth
-	worth := min(1-q, max(q*cost, shareLeast)) * r.units * r.kind.Worth * c.plan.Worth
+	q, cost := beyond[what], c.plan.OverQuotaCost-c.plan.OverQuotaWeight
+	worth := min(1-q, max(q*cost, shareLeast)) * r.units * r.kind.PriorityWeight * c.plan.PriorityWeight
 	part := min(1, g.calling*max(worth/g.worth, placeLeast))
 	g.worth += beyondGain * (worth - g.worth)
 	ask := g.rng.Float64() < part
-	hold := ask && g.now-g.stalledAt >= standstills && r.deadline-g.now > 2*g.set.CountWait
+	hold := ask && g.now-g.stalledAt >= standstills && r.deadline-g.now > 2*g.set.CounterTimeout
 	blind := func() {
 		g.decide(r, 1-q > q*cost && (cost <= 0 || c.level >= r.units-eps) && c.mayPass(r.units))
 	}
@@ -88,7 +88,7 @@
 		}
 	}
 	if hold { // the answer may come later than is good for the request
-		g.wake(g.set.CountWait, func() {
+		g.wake(g.set.CounterTimeout, func() {
 			if hold && !r.over {
 				hold = false
 				blind()
@@ -97,11 +97,11 @@
 	}
 	span, units := g.span(c), r.units/part
 	name, _ := g.number(c, span)
-	g.count(name, units, placeLives, func(e Counted) {
+	g.count(name, units, placeLives, func(e CounterReplied) {
 		c.refill(g.now)
 		held := hold && !r.over
 		hold = false
-		if e.Outcome != Pass {
+		if e.Outcome != Succeeded {
 			if held {
 				blind()
 			}
@@ -122,7 +122,7 @@
 			r.held = true
 			return
 		}
-		g.count(name, -units, placeLives, func(Counted) {})
+		g.count(name, -units, placeLives, func(CounterReplied) {})
 	})
 }
 
@@ -141,14 +141,14 @@
 	name, age := g.number(c, span)
 	if lost := c.store.total - total; c.store.at > 0 && c.store.span == span &&
 		lost > max(lossLeast*p.Burst, 2*c.largest) {
-		g.count(name, lost, placeLives, func(Counted) {})
+		g.count(name, lost, placeLives, func(CounterReplied) {})
 		total += lost
 	} else if math.Abs(total) < eps && age.Seconds()*p.Rate < p.Burst {
 		g.carryOver(c, span)
 	}
 	level := p.Burst + age.Seconds()*p.Rate - total
 	if surplus := level - p.Burst; surplus > surplusMost*p.Burst {
-		g.count(name, surplus, placeLives, func(Counted) {})
+		g.count(name, surplus, placeLives, func(CounterReplied) {})
 		total, level = total+surplus, p.Burst
 	}
 	c.store = reading{span: span, total: total, level: level, at: g.now}
@@ -161,7 +161,7 @@
 	if diff := units - r.units; r.held && math.Abs(diff) >= settleLeast && g.calling >= 1 {
 		name, _ := g.number(c, g.span(c))
 		c.store.total, c.store.level = c.store.total+diff, c.store.level-diff
-		g.count(name, diff, placeLives, func(Counted) {})
+		g.count(name, diff, placeLives, func(CounterReplied) {})
 	}
 }
 
@@ -170,9 +170,9 @@
 	name, _ := g.number(c, span)
 	last, age := g.number(c, span-1)
 	full := c.plan.Burst + age.Seconds()*c.plan.Rate
-	g.count(last, 0, placeLives, func(e Counted) {
-		if missing := c.plan.Burst - (full - e.Total); e.Outcome == Pass && e.Total > 0 && missing > eps {
-			g.count(name, missing, placeLives, func(Counted) {})
+	g.count(last, 0, placeLives, func(e CounterReplied) {
+		if missing := c.plan.Burst - (full - e.Total); e.Outcome == Succeeded && e.Total > 0 && missing > eps {
+			g.count(name, missing, placeLives, func(CounterReplied) {})
 		}
 	})
 }
