--- a/internal/policy/place.go
+++ b/internal/policy/sharedbucket.go
@@ -1,13 +1,14 @@
 package policy
 
-// Placing: what decides on the tries of customers whose slices are too small.
-
 import (
 	"math"
 	"time"
 )
 
 const (
+	beyondGain  = 0.05             // weight of one counted try in a share of tries beyond quotas
+	evidences   = 10               // kinds of knowledge of a try, with repeats apart
+	startBeyond = 0.3              // share of first tries taken to be beyond quotas at first
 	placeBelow  = 0.8              // part of the largest request below which slices are all chance
 	placeSpan   = 25 * time.Second // for which one number holds a customer's store
 	placeLives  = time.Minute      // for which it is kept: also while the next one is in use
