--- a/internal/edge/ahead.go
+++ b/internal/edge/ahead.go
@@ -6,7 +6,6 @@
 	"os"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 )
 
@@ -139,43 +138,3 @@
 		a.changed.Broadcast()
 	}
 }
-
-// peekState is what the system holds of a connection's other side.
-type peekState int
-
-const (
-	peekUnknown peekState = iota // this is no socket, or the look failed
-	peekSilent                   // it is open, with nothing to read
-	peekBytes                    // there is something to read
-	peekEnded                    // it was closed or reset, with nothing to read before
-)
-
-// peek looks at a connection and takes nothing from it, also while another goroutine reads it.
-func peek(nc net.Conn) peekState {
-	sc, ok := nc.(syscall.Conn)
-	if !ok {
-		return peekUnknown
-	}
-	raw, err := sc.SyscallConn()
-	if err != nil {
-		return peekEnded
-	}
-	state := peekUnknown
-	err = raw.Control(func(fd uintptr) {
-		var b [1]byte
-		k, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		switch {
-		case errors.Is(err, syscall.EAGAIN):
-			state = peekSilent
-		case errors.Is(err, syscall.EINTR):
-		case err != nil || k == 0:
-			state = peekEnded
-		default:
-			state = peekBytes
-		}
-	})
-	if err != nil {
-		return peekEnded
-	}
-	return state
-}
--- a/internal/edge/clients.go
+++ b/internal/edge/clients.go
@@ -16,7 +16,9 @@
 	"sync/atomic"
 	"time"
 
+	"swiftpitch/internal/decimal"
 	"swiftpitch/internal/policy"
+	"swiftpitch/internal/socket"
 )
 
 const (
@@ -276,7 +278,7 @@
 	case <-c.left:
 		return true
 	default:
-		return peek(c.Conn) == peekEnded
+		return socket.Peek(c.Conn) == socket.Closed
 	}
 }
 
@@ -601,7 +603,7 @@
 	seen := 0
 	for part := range strings.SplitSeq(terms, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		v, ok := decimal(value)
+		v, ok := decimal.Parse(value)
 		if !ok {
 			return fmt.Errorf("Api-Terms: %q is no number", name)
 		}
@@ -634,16 +636,6 @@
 	return nil
 }
 
-// decimal reads a figure of digits and at most one point; others that a library
-// may take (signs, exponents, NaN, hexadecimal ones) are no figures here.
-func decimal(text string) (float64, bool) {
-	if text == "" || len(text) > 32 || strings.Trim(text, "0123456789.") != "" {
-		return 0, false
-	}
-	v, err := strconv.ParseFloat(text, 64)
-	return v, err == nil
-}
-
 // forwardHead is the head that goes on to app servers, up to the value of
 // X-Expires-In-Ms, which is told for each attempt.
 func forwardHead(req *http.Request, id string, key []string, length int) []byte {
--- a/internal/edge/counter.go
+++ b/internal/edge/counter.go
@@ -10,6 +10,7 @@
 	"strings"
 	"time"
 
+	"swiftpitch/internal/decimal"
 	"swiftpitch/internal/policy"
 )
 
@@ -318,7 +319,7 @@
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		digits, negative := strings.CutPrefix(strings.TrimSpace(string(body)), "-")
-		if total, ok = decimal(digits); !ok {
+		if total, ok = decimal.Parse(digits); !ok {
 			return policy.TimedOut, 0, false // added, but the total is not known
 		}
 		if negative {
--- a/internal/edge/leave_test.go
+++ b/internal/edge/leave_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"swiftpitch/internal/policy"
+	"swiftpitch/internal/socket"
 )
 
 // forgotten waits until the node has noticed that the clients of all requests are gone.
@@ -463,11 +464,11 @@
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { nc.Close() })
-	if got := peek(nc); got != peekSilent {
+	if got := socket.Peek(nc); got != socket.Quiet {
 		r.t.Errorf("before the client leaves: %d", got)
 	}
 	client.Close()
-	eventually(r.t, "the client's end", func() bool { return peek(nc) == peekEnded })
+	eventually(r.t, "the client's end", func() bool { return socket.Peek(nc) == socket.Closed })
 	return &clientConn{Conn: nc, owner: &r.node.clients, left: make(chan struct{})}
 }
 
--- a/internal/edge/servers.go
+++ b/internal/edge/servers.go
@@ -14,7 +14,9 @@
 	"time"
 
 	"swiftpitch/internal/config"
+	"swiftpitch/internal/decimal"
 	"swiftpitch/internal/policy"
+	"swiftpitch/internal/socket"
 )
 
 const (
@@ -205,8 +207,8 @@
 // quiet reports whether an idle connection is open and has nothing to read. What is no
 // socket can't be asked.
 func (c *conn) quiet() bool {
-	_, socket := c.Conn.(syscall.Conn)
-	return !socket || peek(c.Conn) == peekSilent
+	_, isSocket := c.Conn.(syscall.Conn)
+	return !isSocket || socket.Peek(c.Conn) == socket.Quiet
 }
 
 // attempt is one attempt of a request.
@@ -434,7 +436,7 @@
 		r.outcome = policy.Overloaded
 	case resp.StatusCode == http.StatusOK:
 		r.outcome, r.body, r.contentType = policy.Succeeded, body, resp.Header["Content-Type"]
-		r.units, _ = decimal(resp.Header.Get("Api-Charge")) // 0 if it can't be read
+		r.units, _ = decimal.Parse(resp.Header.Get("Api-Charge")) // 0 if it can't be read
 	}
 	return r
 }
@@ -449,7 +451,7 @@
 	}
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		v, ok := decimal(value)
+		v, ok := decimal.Parse(value)
 		if !ok {
 			continue
 		}
--- a/internal/edge/servers_test.go
+++ b/internal/edge/servers_test.go
@@ -331,19 +331,6 @@
 	}
 }
 
-// Guards the figures that others send: only plain decimal ones are read.
-func FuzzDecimal(f *testing.F) {
-	for _, text := range []string{"7", "0.61", "NaN", "Inf", "-1", "+1", "1e9", "0x1p3", "1_0", ".", ""} {
-		f.Add(text)
-	}
-	f.Fuzz(func(t *testing.T, text string) {
-		v, ok := decimal(text)
-		if ok && (!(v >= 0) || v > 1e32 || strings.Trim(text, "0123456789.") != "") {
-			t.Errorf("%q is read as %v", text, v)
-		}
-	})
-}
-
 // Guards against app servers that drop idle connections without a word: an idle
 // age at which most break at once is avoided for a while, younger ones are not.
 func TestStaleAges(t *testing.T) {
