--- a/internal/edge/discovery.go
+++ b/internal/edge/discovery.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"net/http"
-	"slices"
 	"strconv"
 	"time"
 
@@ -33,9 +32,6 @@
 	StartedAt int64   `json:"startedAtMs"`
 }
 
-var lifecycles = map[string]policy.EndpointState{"SERVING": policy.Serving, "DRAINING": policy.Draining,
-	"DELETED": policy.Removed}
-
 // follow keeps the list of app servers up to date until the node stops.
 func (n *Node) follow() {
 	client := &http.Client{Transport: n.transport}
@@ -131,80 +127,3 @@
 	}
 	return list, nil
 }
-
-// applyList takes news of the app servers and tells the module.
-func (n *Node) applyList(list List, scope policy.UpdateScope) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	now := time.Now()
-	named, held := map[string]bool{}, map[string]string{}
-	entries := make([]policy.Endpoint, 0, len(list.Instances))
-	for _, e := range list.Instances {
-		state, ok := lifecycles[e.Lifecycle]
-		if !ok || e.ID == "" {
-			n.log.Warn("discovery lists an app server in no known state", "id", e.ID, "lifecycle", e.Lifecycle)
-			continue
-		}
-		named[e.ID] = true
-		if state == policy.Serving {
-			held[e.HostPort] = e.ID
-		}
-		entries = append(entries, policy.Endpoint{ID: e.ID, Zone: slices.Index(n.cfg.Settings.Zones, e.Zone),
-			Cell: e.Cell, Weight: e.Weight, StartedAt: policy.Time(e.StartedAt) * policy.Time(time.Millisecond), State: state})
-		n.pool.list(e.ID, e.HostPort, e.StartedAt, state, now)
-	}
-	for id, s := range n.pool.servers {
-		switch by := held[s.addr]; {
-		case named[id]:
-		case scope == policy.FullUpdate:
-			n.pool.list(id, "", 0, policy.Removed, now)
-		case by != "": // another process has its address: what is sent there would reach that one
-			n.pool.list(id, "", 0, policy.Removed, now)
-			entries = append(entries, policy.Endpoint{ID: id, State: policy.Removed})
-		}
-	}
-	n.pool.countServing()
-	n.post(policy.EndpointsUpdated{Scope: scope, Endpoints: entries})
-}
-
-// list takes discovery's word on one app server.
-func (p *pool) list(id, addr string, started int64, state policy.EndpointState, now time.Time) {
-	s := p.servers[id]
-	if state == policy.Removed {
-		if s != nil {
-			s.drain(now)
-			p.dropIdle(s)
-			delete(p.servers, id)
-		}
-		return
-	}
-	if s == nil {
-		s = &server{id: id}
-		p.servers[id] = s
-	}
-	if s.addr != addr || s.started != started {
-		p.dropIdle(s) // they lead to a process that is no more
-		s.addr, s.started = addr, started
-	}
-	if state == policy.Serving {
-		s.drainedAt = time.Time{}
-	} else {
-		s.drain(now)
-		p.dropIdle(s)
-	}
-}
-
-func (s *server) drain(now time.Time) {
-	if s.drainedAt.IsZero() {
-		s.drainedAt = now
-	}
-}
-
-func (p *pool) countServing() {
-	p.serving = 0
-	for _, s := range p.servers {
-		if s.drainedAt.IsZero() {
-			p.serving++
-		}
-	}
-}
--- /dev/null
+++ b/internal/edge/endpoints.go
@@ -0,0 +1,46 @@
+package edge
+
+import (
+	"slices"
+	"time"
+
+	"swiftpitch/internal/policy"
+)
+
+var lifecycles = map[string]policy.EndpointState{"SERVING": policy.Serving, "DRAINING": policy.Draining,
+	"DELETED": policy.Removed}
+
+// applyList takes news of the app servers and tells the module.
+func (n *Node) applyList(list List, scope policy.UpdateScope) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	now := time.Now()
+	named, held := map[string]bool{}, map[string]string{}
+	entries := make([]policy.Endpoint, 0, len(list.Instances))
+	for _, e := range list.Instances {
+		state, ok := lifecycles[e.Lifecycle]
+		if !ok || e.ID == "" {
+			n.log.Warn("discovery lists an app server in no known state", "id", e.ID, "lifecycle", e.Lifecycle)
+			continue
+		}
+		named[e.ID] = true
+		if state == policy.Serving {
+			held[e.HostPort] = e.ID
+		}
+		entries = append(entries, policy.Endpoint{ID: e.ID, Zone: slices.Index(n.cfg.Settings.Zones, e.Zone),
+			Cell: e.Cell, Weight: e.Weight, StartedAt: policy.Time(e.StartedAt) * policy.Time(time.Millisecond), State: state})
+		n.pool.list(e.ID, e.HostPort, e.StartedAt, state, now)
+	}
+	for id, s := range n.pool.servers {
+		switch by := held[s.addr]; {
+		case named[id]:
+		case scope == policy.FullUpdate:
+			n.pool.list(id, "", 0, policy.Removed, now)
+		case by != "": // another process has its address: what is sent there would reach that one
+			n.pool.list(id, "", 0, policy.Removed, now)
+			entries = append(entries, policy.Endpoint{ID: id, State: policy.Removed})
+		}
+	}
+	n.pool.countServing()
+	n.post(policy.EndpointsUpdated{Scope: scope, Endpoints: entries})
+}
--- a/internal/edge/servers.go
+++ b/internal/edge/servers.go
@@ -512,3 +512,45 @@
 		done(got.outcome, got.report)
 	})
 }
+
+// list takes discovery's word on one app server.
+func (p *pool) list(id, addr string, started int64, state policy.EndpointState, now time.Time) {
+	s := p.servers[id]
+	if state == policy.Removed {
+		if s != nil {
+			s.drain(now)
+			p.dropIdle(s)
+			delete(p.servers, id)
+		}
+		return
+	}
+	if s == nil {
+		s = &server{id: id}
+		p.servers[id] = s
+	}
+	if s.addr != addr || s.started != started {
+		p.dropIdle(s) // they lead to a process that is no more
+		s.addr, s.started = addr, started
+	}
+	if state == policy.Serving {
+		s.drainedAt = time.Time{}
+	} else {
+		s.drain(now)
+		p.dropIdle(s)
+	}
+}
+
+func (s *server) drain(now time.Time) {
+	if s.drainedAt.IsZero() {
+		s.drainedAt = now
+	}
+}
+
+func (p *pool) countServing() {
+	p.serving = 0
+	for _, s := range p.servers {
+		if s.drainedAt.IsZero() {
+			p.serving++
+		}
+	}
+}
