--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -10,6 +9,7 @@
 	"testing"
 	"time"
 
+	"swiftpitch/internal/frontend"
 	"swiftpitch/internal/policy"
 )
 
@@ -18,8 +18,8 @@
 func TestDrainAnswersBeforeTheKill(t *testing.T) {
 	app := startApp(t, func(net.Conn, *http.Request, []byte) bool { return true }) // never answers
 	r := startNode(t, testConfig(t), app.addr)
-	r.node.drain.answer = 50 * time.Millisecond // long before the request's own time is up
-	r.node.drain.write = patience
+	r.node.phases.answer = 50 * time.Millisecond // long before the request's own time is up
+	r.node.phases.write = patience
 	c := r.dial()
 	io.WriteString(c, clientRequest("merge", "00000000000000aa"))
 	eventually(t, "the attempt", func() bool { return len(app.requests()) == 1 })
@@ -32,8 +32,8 @@
 	}
 	r.done <- nil
 	late := &request{id: "late"}
-	r.node.arrive(late, arrived(late.id))
-	if a := <-late.answer; a.status != statusRefused {
+	r.node.receive(late, arrived(late.id))
+	if a := <-late.answer; a.status != statusRejected {
 		t.Errorf("a request that comes later is answered %d", a.status)
 	}
 }
@@ -44,11 +44,11 @@
 	for _, longest := range []time.Duration{300 * time.Millisecond, 1100 * time.Millisecond, 2500 * time.Millisecond,
 		4 * time.Second, 30 * time.Second} {
 		kill := min(longest, 3*time.Second) + 700*time.Millisecond
-		if got := newDrainTimes(longest).answer; got >= kill || got < kill-150*time.Millisecond {
+		if got := newShutdownPhases(longest).answer; got >= kill || got < kill-150*time.Millisecond {
 			t.Errorf("deadline %v: drained for %v, killed after %v", longest, got, kill)
 		}
-		if last := drainAccept + longest; longest <= 3*time.Second && newDrainTimes(longest).answer < last {
-			t.Errorf("deadline %v: drained for %v, requests taken by then may go on until %v", longest, newDrainTimes(longest).answer, last)
+		if last := acceptDuration + longest; longest <= 3*time.Second && newShutdownPhases(longest).answer < last {
+			t.Errorf("deadline %v: drained for %v, requests taken by then may go on until %v", longest, newShutdownPhases(longest).answer, last)
 		}
 	}
 }
@@ -57,16 +57,12 @@
 // it is read to its end and served.
 func TestDrainReadsWhatIsOnItsWay(t *testing.T) {
 	r := startNode(t, testConfig(t), startApp(t, say(hello)).addr)
-	r.node.drain.read, r.node.drain.answer = patience, patience
+	r.node.phases.read, r.node.phases.answer = patience, patience
 	text := clientRequest("merge", "00000000000000aa")
 	silent, half, body := r.dial(), r.dial(), r.dial() // nothing, half a head and half a body before the stop
 	io.WriteString(half, text[:40])
 	io.WriteString(body, text[:len(text)-5])
-	eventually(t, "the connections", func() bool {
-		r.node.clients.mu.Lock()
-		defer r.node.clients.mu.Unlock()
-		return len(r.node.clients.open) >= 3
-	})
+	eventually(t, "the connections", func() bool { return r.node.clients.Stats().Open >= 3 })
 	r.stop()
 	eventually(t, "the end of the listener", func() bool {
 		c, err := net.Dial("tcp", r.addr)
@@ -89,51 +85,21 @@
 // word to stop comes: the connection is not idle any more, and the request is served.
 func TestDrainCrossesARequestBegun(t *testing.T) {
 	r := startNode(t, testConfig(t), startApp(t, say(hello)).addr)
-	r.node.drain.read, r.node.drain.answer = patience, patience
+	r.node.phases.read, r.node.phases.answer = patience, patience
 	c := r.dial()
 	c.ask(clientRequest("lookup", "00000000000000aa"))
-	idle := func() int {
-		r.node.clients.mu.Lock()
-		defer r.node.clients.mu.Unlock()
-		k := 0
-		for _, f := range r.node.clients.open {
-			if f.idle {
-				k++
-			}
-		}
-		return k
-	}
+	idle := func() int { return r.node.clients.Stats().Idle }
 	eventually(t, "the idle connection", func() bool { return idle() == 1 })
 	text := clientRequest("lookup", "00000000000000bb")
 	io.WriteString(c, text[:1])
 	eventually(t, "the first byte", func() bool { return idle() == 0 })
 	r.stop()
-	eventually(t, "the drain", r.node.clients.closing)
+	eventually(t, "the drain", r.node.clients.Draining)
 	if resp, _ := c.ask(text[1:]); resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("status %d, closing %v", resp.StatusCode, resp.Close)
 	}
 }
 
-// Guards the connections that wait at the listener when it ends: they are taken in.
-func TestListenerTakesWhatWaits(t *testing.T) {
-	ln := listen(t)
-	l := &drainListener{TCPListener: ln, clients: &clientConns{}}
-	c, err := net.Dial("tcp", ln.Addr().String()) // the kernel takes it in
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	ln.SetDeadline(time.Unix(1, 0))
-	got, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	got.Close()
-	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("after that: %v", err)
-	}
-}
-
 // Guards against half of each when this side closes a connection that carries a
 // request: what comes after the close is not read, and what was read is not taken.
 func TestCloseCrossesARequest(t *testing.T) {
@@ -146,17 +112,28 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	k := &clientConns{most: 1, open: map[net.Conn]*clientConn{}}
-	c, err := (&drainListener{TCPListener: ln, clients: k}).Accept()
+	tracker := frontend.NewTracker(1, frontend.NewMemoryBudget(0))
+	l := frontend.NewListener(ln, tracker)
+	c, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx := k.context(context.Background(), c)
+	ctx := tracker.ConnContext(context.Background(), c)
 	io.WriteString(client, text)
 	if _, err := io.ReadFull(c, make([]byte, len(text))); err != nil { // the library has read it
 		t.Fatal(err)
 	}
-	k.context(context.Background(), &clientConn{Conn: client, owner: k}) // makes c go, which is not yet busy
+	other, err := net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.Close()
+	newcomer, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer newcomer.Close()
+	tracker.ConnContext(context.Background(), newcomer) // evicts c, which is not yet busy
 	func() {
 		defer func() {
 			if p := recover(); p != http.ErrAbortHandler {
@@ -171,20 +148,8 @@
 	if got := app.requests(); len(got) > 0 {
 		t.Errorf("app server got %q", got)
 	}
-	shut := &clientConn{Conn: readsText{text: text}, owner: k, shut: true}
-	if n, err := shut.Read(make([]byte, 10)); n != 0 || err != io.EOF {
-		t.Errorf("read %d bytes, %v", n, err)
-	}
 }
 
-// readsText is a connection that has something to read, though it was closed meanwhile.
-type readsText struct {
-	net.Conn
-	text string
-}
-
-func (c readsText) Read(b []byte) (int, error) { return copy(b, c.text), nil }
-
 // usualHeader is that of a request of the class lookup.
 func usualHeader() http.Header {
 	return http.Header{"X-Trace-Id": {"00000000000000aa"}, "X-Qos": {"lookup"}, "Api-Plan": {"basic"},
@@ -195,3 +160,57 @@
 func arrived(id string) policy.RequestReceived {
 	return policy.RequestReceived{RequestID: id, Timeout: time.Second, Units: 1, TenantGateways: 1}
 }
+
+// Guards a planned restart: after the word to stop, new connections are still
+// served and told to close, what was taken is finished, an idle connection is
+// closed, and then the node ends with no error.
+func TestStop(t *testing.T) {
+	let := make(chan struct{})
+	app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
+		if req.Header.Get("X-Trace-Id") == "00000000000000aa" {
+			<-let
+		}
+		return say(hello)(c, req, body)
+	})
+	r := startNode(t, testConfig(t), app.addr)
+	r.node.phases.accept = patience / 10
+	idle, busy := r.dial(), r.dial()
+	idle.ask(clientRequest("lookup", "00000000000000bb"))
+	io.WriteString(busy, clientRequest("merge", "00000000000000aa"))
+	eventually(t, "the open request", func() bool { return len(app.requests()) == 2 })
+	r.stop()
+	if _, err := idle.br.ReadByte(); err != io.EOF {
+		t.Errorf("idle connection: %v", err)
+	}
+	if resp, _ := r.dial().ask(clientRequest("merge", "00000000000000cc")); resp.StatusCode != http.StatusOK || !resp.Close {
+		t.Errorf("new connection: status %d, closing %v", resp.StatusCode, resp.Close)
+	}
+	close(let)
+	if resp, _ := busy.answer(); resp.StatusCode != http.StatusOK || !resp.Close {
+		t.Errorf("open request: status %d, closing %v", resp.StatusCode, resp.Close)
+	}
+	select {
+	case err := <-r.done:
+		if err != nil {
+			t.Error(err)
+		}
+	case <-time.After(patience):
+		t.Fatal("the node does not end")
+	}
+}
+
+// Guards the end of a planned restart against connections on which nothing was
+// ever sent: they do not hold it up for the five seconds that the library waits.
+func TestStopWithSilentConnection(t *testing.T) {
+	r := startNode(t, testConfig(t), startApp(t, say(hello)).addr)
+	c := r.dial()
+	eventually(t, "the silent connection", func() bool { return r.node.clients.Stats().Open > 0 })
+	r.stop()
+	asked := time.Now()
+	if _, err := c.br.ReadByte(); err == nil {
+		t.Error("the connection says something")
+	}
+	if took := time.Since(asked); took > 3*time.Second {
+		t.Errorf("closed after %v", took)
+	}
+}
--- /dev/null
+++ b/internal/edge/handler_test.go
@@ -0,0 +1,143 @@
+package edge
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"swiftpitch/internal/frontend"
+	"testing"
+	"time"
+)
+
+// Guards the listener against what can't be served: it is answered 400 and
+// nothing of it reaches an app server.
+func TestMalformed(t *testing.T) {
+	app := startApp(t, say(hello))
+	r := startNode(t, testConfig(t), app.addr)
+	id := "00000000000000aa"
+	long := strings.Repeat("x", frontend.MaxBodyBytes+1)
+	for name, text := range map[string]string{
+		"class":         clientRequest("lookup", id, "X-Qos: lookup", "X-Qos: nothing"),
+		"path":          clientRequest("lookup", id, "/lookup/x", "/lookups"),
+		"plan":          clientRequest("lookup", id, "basic", "gold"),
+		"id":            clientRequest("lookup", id, "X-Trace-Id: "+id+"\r\n", ""),
+		"id twice":      clientRequest("lookup", id, "X-Qos", "X-Trace-Id: b\r\nX-Qos"),
+		"customer":      clientRequest("lookup", id, "00000000b4d65521", "b4d65521"),
+		"customer high": clientRequest("lookup", id, "00000000b4d65521", "00000002b4d65521"),
+		"deadline":      clientRequest("lookup", id, "3000", "soon"),
+		"deadline none": clientRequest("lookup", id, "3000", "0"),
+		"units":         clientRequest("lookup", id, "units=2", "units=NaN"),
+		"units many":    clientRequest("lookup", id, "units=2", "units=7"),
+		"spread":        clientRequest("lookup", id, "spread=2", "spread=3"),
+		"first":         clientRequest("lookup", id, "first=1", "first=2"),
+		"terms":         clientRequest("lookup", id, ",first=1", ""),
+		"method":        clientRequest("merge", id, "POST", "GET"),
+		"no key":        clientRequest("save", id, "Idempotency-Key", "Other"),
+		"key":           clientRequest("merge", id, "X-Qos", "Idempotency-Key: k\r\nX-Qos"),
+		"body":          clientRequest("merge", id, "Content-Length: 10", fmt.Sprintf("Content-Length: %d", len(long)), "0123456789", long),
+		"chunked body": clientRequest("merge", id, "Content-Length: 10", "Transfer-Encoding: chunked", "0123456789",
+			fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(long), long)),
+		"chunked in the limit": clientRequest("merge", id, "Content-Length: 10", "Transfer-Encoding: chunked", "0123456789",
+			"a\r\n0123456789\r\n0\r\n\r\n"),
+		"both framings":   clientRequest("merge", id, "Content-Length: 10", "Content-Length: 10\r\nTransfer-Encoding: chunked", "0123456789", "0\r\n\r\nGET /x"),
+		"both, HTTP/1.0":  clientRequest("merge", id, "HTTP/1.1", "HTTP/1.0", "Content-Length: 10", "Content-Length: 10\r\nTransfer-Encoding: chunked"),
+		"lengths":         clientRequest("merge", id, "Content-Length: 10", "Content-Length: 10\r\nContent-Length: 9"),
+		"length negative": clientRequest("merge", id, "Content-Length: 10", "Content-Length: -10"),
+		"id form":         clientRequest("lookup", id, id, "00000000000000ag"),
+		"units hex":       clientRequest("lookup", id, "units=2", "units=0x1p1"),
+		"units twice":     clientRequest("lookup", id, "units=2", "units=2,units=3"),
+		"key bytes":       clientRequest("save", id, "k-", "k\xff"),
+		"target bytes":    clientRequest("lookup", id, "?q=1", "?q=\xff"),
+		"length":          clientRequest("merge", id, "Content-Length: 10", "Content-Length: ten"),
+		"noise":           "\x00\x01\x02\r\n\r\n",
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := r.dial()
+			go io.WriteString(c, text) // may be cut short by the answer
+			if resp, _ := c.answer(); resp.StatusCode != http.StatusBadRequest {
+				t.Errorf("status %d", resp.StatusCode)
+			}
+		})
+	}
+	if got := app.requests(); len(got) > 0 {
+		t.Errorf("app server got %q", got)
+	}
+}
+
+// Guards the bounds on the time for a request: they end a silent connection, half
+// a head and a body that never comes whole, and do not end a request that has
+// come and whose answer takes longer.
+func TestReadTimeout(t *testing.T) {
+	app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
+		time.Sleep(frontend.ReadTimeout + 100*time.Millisecond) // the work
+		return say(hello)(c, req, body)
+	})
+	r := startNode(t, testConfig(t), app.addr)
+	whole := clientRequest("merge", "00000000000000aa", "X-Expires-In-Ms: 3000", "X-Expires-In-Ms: 4000")
+	good := r.dial()
+	io.WriteString(good, whole)
+	var bad []*client
+	for _, text := range []string{"", whole[:60], strings.Replace(whole, "0123456789", "012", 1)} {
+		c := r.dial()
+		io.WriteString(c, text)
+		bad = append(bad, c)
+	}
+	if resp, body := good.answer(); resp.StatusCode != http.StatusOK || body != "hello" {
+		t.Errorf("status %d, body %q", resp.StatusCode, body)
+	}
+	for i, c := range bad {
+		if text, err := io.ReadAll(c.br); err != nil || i == 2 && !strings.HasPrefix(string(text), "HTTP/1.1 400") {
+			t.Errorf("bad client %d read %q, %v", i, text, err)
+		}
+	}
+}
+
+// Guards against bodies that do not fit the memory together: what is over the
+// share is turned away unread, and there is room again once others are done.
+func TestBodiesInHand(t *testing.T) {
+	let := make(chan struct{})
+	app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool { <-let; return say(hello)(c, req, body) })
+	cfg := testConfig(t)
+	cfg.Memory = frontend.MaxBodyBytes * 10 // one body of the largest size
+	r := startNode(t, cfg, app.addr)
+	first := r.dial()
+	long := []string{"Content-Length: 10", fmt.Sprintf("Content-Length: %d", frontend.MaxBodyBytes), "0123456789", strings.Repeat("z", frontend.MaxBodyBytes)}
+	io.WriteString(first, clientRequest("merge", "00000000000000aa", long...))
+	eventually(t, "the first request", func() bool { return len(app.requests()) == 1 })
+	over := r.dial()
+	go io.WriteString(over, clientRequest("merge", "00000000000000bb", long...)) // may be cut short
+	if resp, _ := over.answer(); resp.StatusCode != http.StatusServiceUnavailable {
+		t.Errorf("over the share: status %d", resp.StatusCode)
+	}
+	small := r.dial() // usual bodies are not kept out by long ones
+	io.WriteString(small, clientRequest("merge", "00000000000000dd"))
+	eventually(t, "the small request", func() bool { return len(app.requests()) == 2 })
+	close(let)
+	if resp, _ := small.answer(); resp.StatusCode != http.StatusOK {
+		t.Errorf("small: status %d", resp.StatusCode)
+	}
+	if resp, _ := first.answer(); resp.StatusCode != http.StatusOK {
+		t.Errorf("first: status %d", resp.StatusCode)
+	}
+	if resp, _ := r.dial().ask(clientRequest("merge", "00000000000000cc", long...)); resp.StatusCode != http.StatusOK {
+		t.Errorf("after it: status %d", resp.StatusCode)
+	}
+}
+
+// Guards bodies of the largest size in both directions.
+func TestLargeBody(t *testing.T) {
+	body := bytes.Repeat([]byte("z"), frontend.MaxBodyBytes)
+	app := startApp(t, func(c net.Conn, _ *http.Request, got []byte) bool {
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(got), got)
+		return true
+	})
+	r := startNode(t, testConfig(t), app.addr)
+	resp, got := r.dial().ask(clientRequest("merge", "00000000000000aa", "Content-Length: 10",
+		fmt.Sprintf("Content-Length: %d", len(body)), "0123456789", string(body)))
+	if resp.StatusCode != http.StatusOK || got != string(body) {
+		t.Errorf("status %d, %d bytes", resp.StatusCode, len(got))
+	}
+}
--- a/internal/edge/leave_test.go
+++ b/internal/edge/leave_test.go
@@ -7,12 +7,11 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"os"
 	"strings"
-	"sync/atomic"
 	"testing"
 	"time"
 
+	"swiftpitch/internal/frontend"
 	"swiftpitch/internal/policy"
 	"swiftpitch/internal/socket"
 )
@@ -208,24 +207,17 @@
 // readOn waits until the node has read so many bytes ahead on its one connection.
 func readOn(r *rig, want int) {
 	r.t.Helper()
-	eventually(r.t, "the reading ahead", func() bool {
-		r.node.clients.mu.Lock()
-		defer r.node.clients.mu.Unlock()
-		for _, c := range r.node.clients.open {
-			if a := c.ahead.Load(); a != nil {
-				a.mu.Lock()
-				defer a.mu.Unlock()
-				return len(a.buf) >= want
-			}
-		}
-		return false
-	})
+	eventually(r.t, "the reading ahead", func() bool { return r.node.clients.Stats().ReadAheadBytes >= want })
 }
 
 // Guards what a client sends while its request is under way: it is kept in its order, up
 // to a bound and to what the memory holds of it, and served once its turn comes.
 func TestBytesReadAheadAreKept(t *testing.T) {
-	const small = 2 * aheadPart
+	const (
+		readAheadChunk = 512                            // bytes that internal/frontend reads at a time
+		maxReadAhead   = 16<<10 + frontend.MaxBodyBytes // bytes that it keeps: one whole request
+		small          = 2 * readAheadChunk
+	)
 	for name, room := range map[string]int64{"room for all": 1 << 20, "little room": small} {
 		t.Run(name, func(t *testing.T) {
 			let := make(chan struct{})
@@ -238,13 +230,13 @@
 			cfg := testConfig(t)
 			cfg.Settings.Plans[0].Rate, cfg.Settings.Plans[0].Burst = 1e5, 1e5
 			r := startNode(t, cfg, app.addr)
-			r.node.bodies.Store(room)
+			r.node.memory.Reserve(r.node.memory.Free() - room)
 			c := r.dial()
 			io.WriteString(c, clientRequest("lookup", "0000000000000000"))
 			eventually(t, "the attempt", func() bool { return len(app.requests()) == 1 })
 			var text strings.Builder
 			n := 1
-			for ; text.Len() < 2*aheadMost; n++ { // lines and bodies that tell if one is lost or out of place
+			for ; text.Len() < 2*maxReadAhead; n++ { // lines and bodies that tell if one is lost or out of place
 				body := fmt.Sprintf("%08d--", n)
 				text.WriteString(clientRequest("merge", fmt.Sprintf("%016x", n), "0123456789", body))
 			}
@@ -253,9 +245,9 @@
 				_, err := io.WriteString(c, text.String())
 				wrote <- err
 			}()
-			readOn(r, int(min(room, aheadMost)))
-			if left := r.node.bodies.Load(); left < 0 || left > max(room-aheadMost+2*aheadPart, 0) {
-				t.Errorf("%d of %d bytes are left while %d are kept", left, room, aheadMost)
+			readOn(r, int(min(room, maxReadAhead)))
+			if left := r.node.memory.Free(); left < 0 || left > max(room-maxReadAhead+2*readAheadChunk, 0) {
+				t.Errorf("%d of %d bytes are left while %d are kept", left, room, maxReadAhead)
 			}
 			close(let)
 			for i := range n {
@@ -274,7 +266,7 @@
 				t.Errorf("app server got %d requests, want %d", k, n)
 			}
 			c.Close()
-			eventually(t, "the return of the room", func() bool { return r.node.bodies.Load() == room })
+			eventually(t, "the return of the room", func() bool { return r.node.memory.Free() == room })
 		})
 	}
 }
@@ -288,7 +280,7 @@
 		return say(hello)(c, req, body)
 	})
 	r := startNode(t, testConfig(t), app.addr)
-	r.node.drain.read, r.node.drain.answer = patience, patience
+	r.node.phases.read, r.node.phases.answer = patience, patience
 	c := r.dial()
 	io.WriteString(c, clientRequest("lookup", "00000000000000aa"))
 	eventually(t, "the attempt", func() bool { return len(app.requests()) == 1 })
@@ -298,120 +290,15 @@
 	close(let)
 	c.answer()
 	r.stop()
-	eventually(t, "the drain", r.node.clients.closing)
+	eventually(t, "the drain", r.node.clients.Draining)
 	if resp, _ := c.ask(next[40:]); resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("status %d, closing %v", resp.StatusCode, resp.Close)
 	}
 }
 
-// Guards the deadlines of a connection that is read ahead: one that passes is told to who
-// reads, another ends that, and what comes afterwards is read.
-func TestReadAheadDeadline(t *testing.T) {
-	here, there := net.Pipe()
-	defer there.Close()
-	r := startNode(t, testConfig(t))
-	left := make(chan struct{})
-	a := newReadAhead(here, &r.node.bodies, left)
-	a.setDeadline(time.Unix(1, 0))
-	if _, err := a.Read(make([]byte, 1)); err == nil || !err.(net.Error).Timeout() {
-		t.Errorf("past its deadline: %v", err)
-	}
-	a.setDeadline(time.Time{})
-	go io.WriteString(there, "x")
-	b := make([]byte, 2)
-	if k, err := a.Read(b); k != 1 || err != nil || b[0] != 'x' {
-		t.Errorf("after that: %q, %v", b[:k], err)
-	}
-	here.Close()
-	a.close()
-	receive(t, "the end", left)
-	if _, err := a.Read(b); err == nil {
-		t.Error("a closed connection is read")
-	}
-}
-
-// Guards the bounds of what is kept: one whole request, and but for the first part no more
-// than there is room for.
-func TestReadAheadBounds(t *testing.T) {
-	for _, c := range []struct {
-		have, taken, room int
-		more              bool
-	}{
-		{0, 0, 0, true},
-		{1, 0, 0, false},
-		{1, 0, aheadPart, true},
-		{aheadPart, aheadPart, 0, true},
-		{aheadPart + 1, aheadPart, 0, false},
-		{aheadMost - 1, 0, aheadMost, true},
-		{aheadMost, 0, 2 * aheadMost, false},
-	} {
-		var room atomic.Int64
-		room.Store(int64(c.room))
-		a := &readAhead{room: &room, buf: make([]byte, c.have), taken: int64(c.taken)}
-		if got := a.reserve(); got != c.more {
-			t.Errorf("%d bytes kept, %d taken, room for %d: more is read %v", c.have, c.taken, c.room, got)
-		}
-		if left := room.Load(); left < 0 || left+a.taken != int64(c.room+c.taken) {
-			t.Errorf("%d bytes kept, %d taken, room for %d: %d left, %d taken", c.have, c.taken, c.room, left, a.taken)
-		}
-	}
-}
-
-// late is a connection whose reads return when they are told to.
-type late struct {
-	net.Conn
-	reads   chan struct{}
-	results chan error
-}
-
-func (c late) Read(b []byte) (int, error) {
-	c.reads <- struct{}{}
-	if err := <-c.results; err != nil {
-		return 0, err
-	}
-	return copy(b, "x"), nil
-}
-
-func (late) SetReadDeadline(time.Time) error { return nil }
-
-// Guards the watch for a client's end against a deadline that is lifted while the read that
-// met it returns, as the library does at the end of each request.
-func TestReadAheadDeadlineIsLiftedMeanwhile(t *testing.T) {
-	c := late{reads: make(chan struct{}), results: make(chan error)}
-	r := startNode(t, testConfig(t))
-	a := newReadAhead(c, &r.node.bodies, make(chan struct{}))
-	receive(t, "the read", c.reads)
-	a.setDeadline(time.Time{})
-	c.results <- os.ErrDeadlineExceeded
-	receive(t, "the reading on", c.reads)
-	c.results <- nil
-	b := make([]byte, 2)
-	if k, err := a.Read(b); k != 1 || err != nil {
-		t.Errorf("read %q, %v", b[:k], err)
-	}
-	receive(t, "the read", c.reads)
-	c.results <- io.EOF
-}
-
-// Guards a connection on which something of the next request was read while one was under
-// way: it is not idle afterwards, and is not closed for that when the node drains.
-func TestBegunConnectionIsNotIdle(t *testing.T) {
-	for _, draining := range []bool{false, true} {
-		here, there := net.Pipe()
-		defer there.Close()
-		k := &clientConns{most: 1, open: map[net.Conn]*clientConn{}, draining: draining}
-		c := &clientConn{Conn: here, owner: k, left: make(chan struct{}), begun: true, busy: true}
-		k.open[c] = c
-		k.note(c, http.StateIdle)
-		if c.idle || c.shut || c.busy {
-			t.Errorf("draining %v: idle %v, shut %v, busy %v", draining, c.idle, c.shut, c.busy)
-		}
-	}
-}
-
 // begin hands the module a request without a listener. The lock is held.
-func (r *rig) begin(id string, client *clientConn) *request {
-	q := &request{id: id, client: client, came: time.Now().Add(-time.Second), deadline: time.Now().Add(patience),
+func (r *rig) begin(id string, conn *frontend.Conn) *request {
+	q := &request{id: id, conn: conn, came: time.Now().Add(-time.Second), deadline: time.Now().Add(patience),
 		answer: make(chan answer, 1), head: []byte("GET /lookup/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\nX-Expires-In-Ms: ")}
 	q.guard = r.node.after(patience, func() {})
 	r.node.requests[id] = q
@@ -438,7 +325,7 @@
 		if q.out != 1 || len(s.idle) != 0 {
 			t.Fatalf("%d attempts out, %d connections rest", q.out, len(s.idle))
 		}
-		r.node.left(q)
+		r.node.clientDisconnectedLocked(q)
 		r.node.mu.Unlock()
 		eventually(t, "the end of the attempt", func() bool {
 			r.node.mu.Lock()
@@ -451,25 +338,29 @@
 	}
 }
 
-// leftClient is a connection whose client has closed it, which nobody has read yet.
-func (r *rig) leftClient() *clientConn {
+// leftClient is a connection whose client has closed it, which nobody has read yet, and
+// the context of its requests.
+func (r *rig) leftClient() (context.Context, *frontend.Conn) {
 	r.t.Helper()
 	ln := listen(r.t)
 	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	nc, err := ln.Accept()
+	tracker := frontend.NewTracker(1, frontend.NewMemoryBudget(0))
+	nc, err := frontend.NewListener(ln, tracker).Accept()
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { nc.Close() })
-	if got := socket.Peek(nc); got != socket.Quiet {
+	ctx := tracker.ConnContext(context.Background(), nc)
+	conn := frontend.ConnFromContext(ctx)
+	if got := socket.Peek(conn.Conn); got != socket.Quiet {
 		r.t.Errorf("before the client leaves: %d", got)
 	}
 	client.Close()
-	eventually(r.t, "the client's end", func() bool { return socket.Peek(nc) == socket.Closed })
-	return &clientConn{Conn: nc, owner: &r.node.clients, left: make(chan struct{})}
+	eventually(r.t, "the client's end", func() bool { return socket.Peek(conn.Conn) == socket.Closed })
+	return ctx, conn
 }
 
 // Guards app servers against work that nobody waits for where this process stood still: the
@@ -478,8 +369,9 @@
 func TestClientHasLeftUnseen(t *testing.T) {
 	app := startApp(t, say(hello))
 	r := startNode(t, testConfig(t), app.addr)
+	_, conn := r.leftClient()
 	r.node.mu.Lock()
-	r.begin("00000000000000aa", r.leftClient())
+	r.begin("00000000000000aa", conn)
 	r.node.mu.Unlock()
 	eventually(t, "the end of the attempt", func() bool {
 		r.node.mu.Lock()
@@ -493,7 +385,8 @@
 			}
 		}()
 		req := httptest.NewRequest(http.MethodGet, "/lookup/x", nil)
-		req = req.WithContext(context.WithValue(req.Context(), clientConnKey{}, r.leftClient()))
+		ctx, _ := r.leftClient()
+		req = req.WithContext(ctx)
 		req.Host = "x"
 		req.Header = usualHeader()
 		r.node.ServeHTTP(httptest.NewRecorder(), req)
@@ -516,3 +409,47 @@
 		t.Errorf("app server got %q", got)
 	}
 }
+
+// Guards what is owed to nobody: when the client has gone the attempt is called
+// off by closing its connection.
+func TestClientLeaves(t *testing.T) {
+	gone := make(chan struct{})
+	app := startApp(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
+		c.SetReadDeadline(time.Now().Add(patience))
+		if _, err := c.Read(make([]byte, 1)); err == io.EOF {
+			close(gone)
+		}
+		return false
+	})
+	r := startNode(t, testConfig(t), app.addr)
+	c := r.dial()
+	io.WriteString(c, clientRequest("merge", "00000000000000aa"))
+	eventually(t, "the attempt", func() bool { return len(app.requests()) == 1 })
+	c.Close()
+	select {
+	case <-gone:
+	case <-time.After(patience):
+		t.Fatal("the attempt goes on")
+	}
+	eventually(t, "the end of the request", func() bool {
+		r.node.mu.Lock()
+		defer r.node.mu.Unlock()
+		return len(r.node.requests) == 0
+	})
+}
+
+// Guards against an answer that no app server made: a client that ends its sending
+// has gone, and reads the end of the connection and nothing else.
+func TestClientEndsSending(t *testing.T) {
+	let := make(chan struct{})
+	t.Cleanup(func() { close(let) })
+	app := startApp(t, func(net.Conn, *http.Request, []byte) bool { <-let; return false })
+	r := startNode(t, testConfig(t), app.addr)
+	c := r.dial()
+	io.WriteString(c, clientRequest("merge", "00000000000000aa"))
+	eventually(t, "the attempt", func() bool { return len(app.requests()) == 1 })
+	c.Conn.(*net.TCPConn).CloseWrite()
+	if text, err := io.ReadAll(c.br); err != nil || len(text) > 0 {
+		t.Errorf("read %q, %v", text, err)
+	}
+}
--- /dev/null
+++ b/internal/edge/limits_test.go
@@ -0,0 +1,55 @@
+package edge
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"net/http"
+	"os"
+	"testing"
+	"time"
+)
+
+// Guards the limit on descriptors: clients that keep idle connections do not
+// keep others out; the connection that has been idle for longest makes room.
+func TestClientLimit(t *testing.T) {
+	cfg := testConfig(t)
+	cfg.Sockets = 22 // 6 more than are reserved, half of them for clients
+	r := startNode(t, cfg, startApp(t, say(hello)).addr)
+	if limit := r.node.clients.Stats().MaxConns; limit != 3 {
+		t.Fatalf("the limit is %d connections, want 3", limit)
+	}
+	eventually(t, "the end of the connections before", func() bool { return r.node.clients.Stats().Open == 0 })
+	var all []*client
+	for i := range 4 {
+		c := r.dial()
+		all = append(all, c)
+		if resp, _ := c.ask(clientRequest("lookup", fmt.Sprintf("%016x", i))); resp.StatusCode != http.StatusOK {
+			t.Fatalf("connection %d: status %d", i, resp.StatusCode)
+		}
+	}
+	all[0].SetReadDeadline(time.Now().Add(patience / 4))
+	if _, err := all[0].br.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("the connection idle for longest is still open: %v", err)
+	}
+	all[1].SetReadDeadline(time.Now().Add(10 * time.Millisecond))
+	if _, err := all[1].br.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("another connection: %v", err)
+	}
+}
+
+// Guards the descriptors that neither clients nor app servers may take, also where there are few.
+func TestDescriptorsAreKept(t *testing.T) {
+	for _, sockets := range []int{24, 40, 64, 99, 256, 1024} {
+		cfg := testConfig(t)
+		cfg.Sockets = sockets
+		n, err := New(cfg, slog.New(slog.DiscardHandler))
+		if err != nil {
+			t.Fatal(err)
+		}
+		clients := n.clients.Stats().MaxConns
+		if clients < 1 || n.pool.most < 1 || clients+n.pool.most+reservedDescriptors > sockets {
+			t.Errorf("of %d descriptors %d are for clients and %d for app servers", sockets, clients, n.pool.most)
+		}
+	}
+}
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -14,25 +14,13 @@
 	"net/http"
 	"runtime/debug"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"swiftpitch/internal/config"
+	"swiftpitch/internal/frontend"
 	"swiftpitch/internal/policy"
 )
 
-const (
-	// cutLead is how long before a request's deadline its attempts are given up,
-	// so that the module can still answer.
-	cutLead = 15 * time.Millisecond
-	// guardLead is how long before a request's deadline it is failed if the
-	// module has not ended it.
-	guardLead = 8 * time.Millisecond
-	// leaveLook is how long a request may have waited before it is worth a look whether its
-	// client is still there: no attempt may begin 0.1 s after that has gone.
-	leaveLook = 50 * time.Millisecond
-)
-
 // Config is what an edge node is told when it starts.
 type Config struct {
 	Listen    string // address for clients
@@ -54,14 +42,15 @@
 	epoch     policy.Time // Unix time at began
 	ctx       context.Context
 	stop      context.CancelFunc
-	drain     drainTimes
 	pause     func(context.Context, time.Duration)                              // between calls to discovery
 	dial      func(ctx context.Context, network, addr string) (net.Conn, error) // to app servers
 	transport http.RoundTripper                                                 // of the calls to discovery
-	bodies    atomic.Int64                                                      // bytes of bodies that may still be taken in
 	worker    sync.WaitGroup                                                    // goroutines besides those of the listener
 
-	clients clientConns // locks for itself
+	phases  shutdownPhases // of the graceful shutdown
+	parser  *frontend.Parser
+	memory  *frontend.MemoryBudget // for bodies, and for what is read ahead of answers
+	clients *frontend.Tracker      // has a lock of its own
 
 	mu       sync.Mutex
 	gateway  module
@@ -87,31 +76,6 @@
 	Step(now policy.Time, ev policy.Event, out []policy.Action) []policy.Action
 }
 
-// request is one client's request from its last byte to its final answer and
-// the end of its last attempt.
-type request struct {
-	id       string
-	head     []byte // the forwarded head up to the deadline's value
-	body     []byte
-	client   *clientConn // nil: not of a listener
-	came     time.Time   // when its last byte was read
-	deadline time.Time
-	window   time.Duration // for which repeats are dropped; 0: the class has no key
-	guard    *time.Timer
-	attempts []*attempt
-	out      int         // attempts without an outcome
-	final    bool        // answered, or the client is gone
-	answer   chan answer // takes the one final answer
-}
-
-// answer is a request's final answer.
-type answer struct {
-	status      int
-	body        []byte
-	contentType []string // of the body, if it was named
-	retryAfter  time.Duration
-}
-
 // New returns an edge node that has not yet opened any socket.
 func New(cfg Config, log *slog.Logger) (*Node, error) {
 	began := time.Now()
@@ -125,18 +89,12 @@
 	}
 	n.gateway = gw
 	n.watches = newWatchTimes(cfg.Settings)
-	n.drain = newDrainTimes(n.longestDeadline())
+	n.phases = newShutdownPhases(n.longestDeadline())
+	n.parser = frontend.NewParser(cfg.Settings)
+	n.memory = frontend.NewMemoryBudget(bodyMemory(cfg.Memory))
+	n.clients = frontend.NewTracker(maxClientConns(cfg.Sockets), n.memory)
 	n.ctx, n.stop = context.WithCancel(context.Background())
 	n.pool = newPool(cfg.Settings, cfg.Sockets)
-	n.clients = clientConns{most: 512, open: map[net.Conn]*clientConn{}}
-	n.clients.room = &n.bodies
-	n.bodies.Store(64 << 20)
-	if cfg.Memory > 0 {
-		n.bodies.Store(max(int64(bodyShare*float64(cfg.Memory)), bodyMost))
-	}
-	if cfg.Sockets > 0 {
-		n.clients.most = connectionsMost(cfg.Sockets, clientShareOpen)
-	}
 	if cfg.Counter != "" {
 		n.counter = newCounter(n, cfg.Counter)
 	}
@@ -226,18 +184,15 @@
 	case policy.StartAttempt:
 		n.send(a)
 	case policy.CancelAttempt:
-		if r := n.requests[a.RequestID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
-			n.end(r.attempts[a.Attempt], policy.Canceled, policy.LoadReport{})
-		}
+		n.cancelAttempt(a)
 	case policy.Reject:
-		n.finish(a.RequestID, answer{status: statusRefused, retryAfter: a.RetryAfter})
+		n.finish(a.RequestID, answer{status: statusRejected, retryAfter: a.RetryAfter})
 	case policy.Fail:
 		n.finish(a.RequestID, answer{status: statusFailed})
 	case policy.AddToCounter:
 		n.count(a)
 	case policy.StartTimer:
-		cookie := a.TimerID
-		n.after(a.After, func() { n.post(policy.TimerFired{TimerID: cookie}) })
+		n.startTimer(a)
 	case policy.CheckHealth:
 		n.probe(a.Endpoint)
 	case policy.WatchEndpoints: // discovery is followed throughout
@@ -246,6 +201,21 @@
 	}
 }
 
+// cancelAttempt stops waiting for an attempt, if there is one of that number.
+func (n *Node) cancelAttempt(a policy.CancelAttempt) {
+	r := n.requests[a.RequestID]
+	if r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
+		return
+	}
+	n.end(r.attempts[a.Attempt], policy.Canceled, policy.LoadReport{})
+}
+
+// startTimer tells the policy once a time has passed.
+func (n *Node) startTimer(a policy.StartTimer) {
+	timerID := a.TimerID
+	n.after(a.After, func() { n.post(policy.TimerFired{TimerID: timerID}) })
+}
+
 // after runs f under the lock once d has passed, unless the node has stopped.
 func (n *Node) after(d time.Duration, f func()) *time.Timer {
 	return time.AfterFunc(d, func() {
@@ -256,92 +226,3 @@
 		}
 	})
 }
-
-// arrive takes a request whose last byte has come. It reports false, and takes
-// nothing, if a request of that id is open.
-func (n *Node) arrive(r *request, ev policy.RequestReceived) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.requests[r.id] != nil {
-		return false
-	}
-	r.answer = make(chan answer, 1)
-	if n.over {
-		r.final = true
-		r.answer <- answer{status: statusRefused}
-		return true
-	}
-	r.guard = n.after(time.Until(r.deadline)-guardLead, func() { n.expire(r) })
-	n.requests[r.id] = r
-	n.post(ev)
-	return true
-}
-
-// expire fails a request whose client is about to give up.
-func (n *Node) expire(r *request) {
-	if !r.final {
-		n.settle(r, answer{status: statusExpired})
-		n.post(policy.ClientDisconnected{RequestID: r.id})
-		n.release(r)
-	}
-}
-
-// leave notes that a request's client has gone.
-func (n *Node) leave(r *request) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.left(r)
-}
-
-// missed looks, before an attempt of a request that has waited, whether its client has
-// gone: who reads its connection may not have got round to that.
-func (n *Node) missed(r *request, now time.Time) {
-	if r.client != nil && !r.final && now.Sub(r.came) > leaveLook && r.client.gone() {
-		n.left(r)
-	}
-}
-
-// left is leave under the lock.
-func (n *Node) left(r *request) {
-	if !r.final {
-		n.settle(r, answer{})
-		n.post(policy.ClientDisconnected{RequestID: r.id})
-		n.release(r)
-	}
-}
-
-// finish carries out a final answer of the module.
-func (n *Node) finish(id string, a answer) {
-	if r := n.requests[id]; r != nil && !r.final {
-		n.settle(r, a)
-		n.release(r)
-	}
-}
-
-// settle gives a request its one final answer.
-func (n *Node) settle(r *request, a answer) {
-	r.final = true
-	r.guard.Stop()
-	r.answer <- a
-}
-
-// release forgets a request that is answered and has no attempt out.
-func (n *Node) release(r *request) {
-	if r.final && r.out == 0 && n.requests[r.id] == r {
-		delete(n.requests, r.id)
-	}
-}
-
-// end gives an attempt its one outcome and tells the module.
-func (n *Node) end(a *attempt, o policy.Outcome, report policy.LoadReport) {
-	if a.ended {
-		return
-	}
-	a.ended, a.unrun = true, o == policy.Overloaded || o == policy.ConnectFailed || o == policy.NotSent
-	a.abandon()
-	r := a.request
-	r.out--
-	n.post(policy.AttemptEnded{RequestID: r.id, Attempt: a.number, Endpoint: a.target, Outcome: o, Latency: time.Since(a.sent),
-		RequestDone: r.final, ActualUnits: a.units, Report: report})
-	n.release(r)
-}
--- /dev/null
+++ b/internal/edge/request.go
@@ -0,0 +1,160 @@
+package edge
+
+import (
+	"net/http"
+	"time"
+
+	"swiftpitch/internal/frontend"
+	"swiftpitch/internal/policy"
+)
+
+const (
+	// cutLead is how long before a request's deadline its attempts are given
+	// up, so that the policy can still answer.
+	cutLead = 15 * time.Millisecond
+	// deadlineGuardMargin is how long before a request's deadline it is failed if the
+	// policy has not ended it.
+	deadlineGuardMargin = 8 * time.Millisecond
+	// disconnectCheckAge is how long a request may have waited before it is worth a look
+	// whether its client is still there: no attempt may begin 0.1 s after that has gone.
+	disconnectCheckAge = 50 * time.Millisecond
+)
+
+// The statuses of final answers that no endpoint gave.
+const (
+	statusRejected = http.StatusTooManyRequests // a retry does no harm
+	statusFailed   = http.StatusBadGateway
+	statusExpired  = http.StatusGatewayTimeout
+)
+
+// request is one client's request from its last byte to its final answer and
+// the end of its last attempt. The node's lock guards it.
+type request struct {
+	id       string
+	head     []byte // the forwarded head up to the deadline's value
+	body     []byte
+	conn     *frontend.Conn // nil: not of a listener
+	came     time.Time      // when its last byte was read
+	deadline time.Time
+	window   time.Duration // for which repeats are dropped; 0: the class has no key
+	guard    *time.Timer   // fails the request shortly before its deadline
+	attempts []*attempt
+	out      int         // attempts without an outcome
+	final    bool        // answered, or the client has disconnected
+	answer   chan answer // takes the one final answer
+}
+
+// answer is a request's final answer.
+type answer struct {
+	status      int
+	body        []byte
+	contentType []string // of the body, if it was named
+	retryAfter  time.Duration
+}
+
+// newRequest returns a request that was read from a connection; nil: not of a listener.
+func newRequest(parsed *frontend.Request, conn *frontend.Conn) *request {
+	return &request{
+		id:       parsed.Event.RequestID,
+		head:     parsed.ForwardHead,
+		body:     parsed.Body,
+		conn:     conn,
+		came:     parsed.ReceivedAt,
+		deadline: parsed.Deadline,
+		window:   parsed.DedupWindow,
+	}
+}
+
+// receive hands a request to the policy. It reports false, and takes nothing, if a request
+// of that id is open.
+func (n *Node) receive(r *request, event policy.RequestReceived) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.requests[r.id] != nil {
+		return false
+	}
+	r.answer = make(chan answer, 1)
+	if n.over {
+		r.final = true
+		r.answer <- answer{status: statusRejected}
+		return true
+	}
+	r.guard = n.after(time.Until(r.deadline)-deadlineGuardMargin, func() { n.expire(r) })
+	n.requests[r.id] = r
+	n.post(event)
+	return true
+}
+
+// expire fails a request whose client is about to give up. The lock is held.
+func (n *Node) expire(r *request) {
+	n.abort(r, answer{status: statusExpired})
+}
+
+// clientDisconnected ends a request whose client has disconnected.
+func (n *Node) clientDisconnected(r *request) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.clientDisconnectedLocked(r)
+}
+
+// clientDisconnectedLocked is clientDisconnected under the lock.
+func (n *Node) clientDisconnectedLocked(r *request) {
+	n.abort(r, answer{})
+}
+
+// missed looks, before an attempt of a request that has waited, whether its client
+// has disconnected: who reads its connection may not have got round to that. The lock is held.
+func (n *Node) missed(r *request, now time.Time) {
+	if r.conn != nil && !r.final && now.Sub(r.came) > disconnectCheckAge && r.conn.DetectDisconnect() {
+		n.clientDisconnectedLocked(r)
+	}
+}
+
+// abort gives a request its final answer without the policy, and tells the policy that
+// nothing more is owed. The lock is held.
+func (n *Node) abort(r *request, a answer) {
+	if r.final {
+		return
+	}
+	n.settle(r, a)
+	n.post(policy.ClientDisconnected{RequestID: r.id})
+	n.release(r)
+}
+
+// finish carries out a final answer of the policy. The lock is held.
+func (n *Node) finish(id string, a answer) {
+	r := n.requests[id]
+	if r == nil || r.final {
+		return
+	}
+	n.settle(r, a)
+	n.release(r)
+}
+
+// settle gives a request its one final answer. The lock is held.
+func (n *Node) settle(r *request, a answer) {
+	r.final = true
+	r.guard.Stop()
+	r.answer <- a
+}
+
+// release forgets a request that is answered and has no attempt in flight. The lock is held.
+func (n *Node) release(r *request) {
+	if r.final && r.out == 0 && n.requests[r.id] == r {
+		delete(n.requests, r.id)
+	}
+}
+
+// end gives an attempt its one outcome and tells the policy. The lock is held.
+func (n *Node) end(a *attempt, o policy.Outcome, report policy.LoadReport) {
+	if a.ended {
+		return
+	}
+	a.ended, a.unrun = true, o == policy.Overloaded || o == policy.ConnectFailed || o == policy.NotSent
+	a.abandon()
+	r := a.request
+	r.out--
+	n.post(policy.AttemptEnded{RequestID: r.id, Attempt: a.number, Endpoint: a.target, Outcome: o, Latency: time.Since(a.sent),
+		RequestDone: r.final, ActualUnits: a.units, Report: report})
+	n.release(r)
+}
--- /dev/null
+++ b/internal/frontend/listener_test.go
@@ -0,0 +1,28 @@
+package frontend
+
+import (
+	"errors"
+	"net"
+	"testing"
+	"time"
+)
+
+// Guards the connections that wait at the listener when it ends: they are accepted.
+func TestListenerTakesWhatWaits(t *testing.T) {
+	ln := listen(t)
+	l := NewListener(ln, NewTracker(1, NewMemoryBudget(testMemory)))
+	c, err := net.Dial("tcp", ln.Addr().String()) // the kernel accepts it
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	ln.SetDeadline(time.Unix(1, 0))
+	got, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	got.Close()
+	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("after that: %v", err)
+	}
+}
--- /dev/null
+++ b/internal/frontend/request.go
@@ -0,0 +1,306 @@
+package frontend
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"swiftpitch/internal/config"
+	"swiftpitch/internal/policy"
+)
+
+const (
+	// MaxBodyBytes is the most bytes of a request's body.
+	MaxBodyBytes = 64 << 10
+	// maxIdempotencyKeyBytes is the most bytes of an Idempotency-Key.
+	maxIdempotencyKeyBytes = 256
+	// tenantBits is how many bits a tenant's number has, in a field of 16 hexadecimal digits.
+	tenantBits = 33
+	// timeoutBits bounds X-Expires-In-Ms, in milliseconds.
+	timeoutBits = 31
+)
+
+// The headers that stand in every request exactly once.
+const (
+	traceIDHeader = "X-Trace-Id"
+	classHeader   = "X-Qos"
+	planHeader    = "Api-Plan"
+	tenantHeader  = "Api-Customer"
+	timeoutHeader = "X-Expires-In-Ms"
+	termsHeader   = "Api-Terms"
+)
+
+const (
+	idempotencyKeyHeader = "Idempotency-Key" // in requests of some classes
+	retryHeader          = "X-Second-Try"    // "1" if the client repeats a request
+)
+
+// Request is a client's request, checked and read to its last byte.
+type Request struct {
+	Event       policy.RequestReceived // what the policy is told of it
+	ForwardHead []byte                 // the head for endpoints, up to the value of X-Expires-In-Ms
+	Body        []byte
+	ReceivedAt  time.Time // when its last byte was read; its time runs from then on
+	Deadline    time.Time // when its client gives up
+	// DedupWindow is for how long endpoints drop repeats of it; 0: its class has no
+	// idempotency key.
+	DedupWindow time.Duration
+}
+
+// Parser checks clients' requests against the settings. It keeps no state and may be used
+// by any number of goroutines.
+type Parser struct{ settings *config.Settings }
+
+// NewParser returns a parser of requests of the settings' classes and plans.
+func NewParser(settings *config.Settings) *Parser { return &Parser{settings: settings} }
+
+// Parse checks a request and reads its body. The error's text may be sent to the client: a
+// [*HeaderError], a [*ClassError], one of the sentinels of this package, or what broke the
+// reading of the body. A request whose head has a fault is not read any further.
+func (p *Parser) Parse(req *http.Request) (Request, error) {
+	if err := checkMessage(req); err != nil {
+		return Request{}, err
+	}
+	headers, err := readHeaders(req.Header)
+	if err != nil {
+		return Request{}, err
+	}
+	event, err := p.parseEvent(req, &headers)
+	if err != nil {
+		return Request{}, err
+	}
+	class := &p.settings.Classes[event.Class]
+	key, err := checkClass(req, class)
+	if err != nil {
+		return Request{}, err
+	}
+	body, err := readBody(req)
+	if err != nil {
+		return Request{}, err
+	}
+	receivedAt := time.Now()
+	request := Request{
+		Event:       event,
+		ForwardHead: forwardHead(req, headers.traceID, key, len(body)),
+		Body:        body,
+		ReceivedAt:  receivedAt,
+		Deadline:    receivedAt.Add(event.Timeout),
+	}
+	if key != "" {
+		request.DedupWindow = class.DedupWindow
+	}
+	return request, nil
+}
+
+// checkMessage checks the framing and what is forwarded as it stands.
+func checkMessage(req *http.Request) error {
+	// The library drops a length beside a Transfer-Encoding, under HTTP/1.0 the
+	// encoding: what is left can't be told from a request hidden in a body.
+	if len(req.TransferEncoding) > 0 || !req.ProtoAtLeast(1, 1) {
+		return ErrFraming
+	}
+	if !isVisibleASCII(req.RequestURI) || !isVisibleASCII(req.Host) {
+		return ErrTarget
+	}
+	return nil
+}
+
+// requestHeaders are the values of the headers that stand in every request.
+type requestHeaders struct {
+	traceID, class, plan, tenant, timeout, terms string
+}
+
+// readHeaders returns the values of the headers that stand in every request, or the error
+// of the first one at fault.
+func readHeaders(header http.Header) (requestHeaders, error) {
+	reader := headerReader{header: header}
+	values := requestHeaders{
+		traceID: reader.singleValue(traceIDHeader),
+		class:   reader.singleValue(classHeader),
+		plan:    reader.singleValue(planHeader),
+		tenant:  reader.singleValue(tenantHeader),
+		timeout: reader.singleValue(timeoutHeader),
+		terms:   reader.singleValue(termsHeader),
+	}
+	return values, reader.err
+}
+
+// headerReader reads headers up to the first one at fault.
+type headerReader struct {
+	header http.Header
+	err    error // of the first header at fault
+}
+
+// singleValue returns the value of a header that must stand in a request exactly once.
+func (r *headerReader) singleValue(name string) string {
+	if r.err != nil {
+		return ""
+	}
+	values := r.header[name]
+	if len(values) != 1 || values[0] == "" {
+		r.err = &HeaderError{Header: name, Problem: "wanted once"}
+		return ""
+	}
+	return values[0]
+}
+
+// parseEvent checks the values of the headers and returns what the policy is told.
+func (p *Parser) parseEvent(req *http.Request, headers *requestHeaders) (policy.RequestReceived, error) {
+	event := policy.RequestReceived{
+		RequestID: headers.traceID,
+		Class:     p.classIndex(headers.class),
+		Plan:      p.planIndex(headers.plan),
+		IsRetry:   req.Header.Get(retryHeader) == "1",
+	}
+	if event.Class < 0 || event.Plan < 0 {
+		return event, ErrUnknownClass
+	}
+	if !isID(headers.traceID) {
+		return event, &HeaderError{Header: traceIDHeader, Problem: "no id"}
+	}
+	if !pathOfClass(req.RequestURI, headers.class) {
+		return event, &ClassError{Class: headers.class, Problem: "the path is not of"}
+	}
+	var err error
+	if event.Tenant, err = parseTenant(headers.tenant); err != nil {
+		return event, err
+	}
+	if event.Timeout, err = parseTimeout(headers.timeout); err != nil {
+		return event, err
+	}
+	if deadline := p.settings.Classes[event.Class].Deadline; deadline > 0 {
+		event.Timeout = min(event.Timeout, deadline) // no client of this class waits longer
+	}
+	terms, err := p.parseTerms(headers.terms)
+	event.Units = terms.units.value
+	event.TenantGateways = int(terms.spread.value)
+	return event, err
+}
+
+// classIndex returns the place of a class in the settings; -1: there is none of that name.
+func (p *Parser) classIndex(name string) int {
+	index := -1
+	for i := range p.settings.Classes {
+		if p.settings.Classes[i].Name == name {
+			index = i
+		}
+	}
+	return index
+}
+
+// planIndex returns the place of a plan in the settings; -1: there is none of that name.
+func (p *Parser) planIndex(name string) int {
+	index := -1
+	for i := range p.settings.Plans {
+		if p.settings.Plans[i].Name == name {
+			index = i
+		}
+	}
+	return index
+}
+
+// pathOfClass reports whether the first segment of a target's path is a class's name.
+func pathOfClass(target, class string) bool {
+	rest, ok := strings.CutPrefix(target, "/"+class)
+	return ok && (rest == "" || rest[0] == '/' || rest[0] == '?')
+}
+
+// parseTenant reads the number of a tenant.
+func parseTenant(text string) (uint64, error) {
+	tenant, err := strconv.ParseUint(text, 16, tenantBits)
+	if err != nil || !isID(text) {
+		return 0, &HeaderError{Header: tenantHeader, Problem: "no customer"}
+	}
+	return tenant, nil
+}
+
+// parseTimeout reads how long the client still waits.
+func parseTimeout(text string) (time.Duration, error) {
+	milliseconds, err := strconv.ParseUint(text, 10, timeoutBits)
+	if err != nil || milliseconds == 0 {
+		return 0, &HeaderError{Header: timeoutHeader, Problem: "no number of milliseconds"}
+	}
+	return time.Duration(milliseconds) * time.Millisecond, nil
+}
+
+// checkClass checks a request's method, idempotency key and length against its class. It
+// returns the key; "": the class has none.
+func checkClass(req *http.Request, class *config.Class) (key string, err error) {
+	method := http.MethodPost
+	keyCount := 0
+	switch policy.Idempotency(class.Idempotency) {
+	case policy.Idempotent:
+		method = http.MethodGet
+	case policy.IdempotentByKey:
+		keyCount = 1
+	}
+	keys := req.Header[idempotencyKeyHeader]
+	if req.Method != method || len(keys) != keyCount || keyCount == 1 && !isIdempotencyKey(keys[0]) {
+		return "", &ClassError{Class: class.Name, Problem: "method or Idempotency-Key does not fit"}
+	}
+	if method == http.MethodGet && req.ContentLength != 0 || req.ContentLength > MaxBodyBytes {
+		return "", ErrBodyTooLong
+	}
+	if keyCount == 0 {
+		return "", nil
+	}
+	return keys[0], nil
+}
+
+// isIdempotencyKey reports whether a key can be forwarded as it stands.
+func isIdempotencyKey(key string) bool {
+	return isVisibleASCII(key) && len(key) <= maxIdempotencyKeyBytes
+}
+
+// readBody reads a request's body to its end; nil: it has none.
+func readBody(req *http.Request) ([]byte, error) {
+	if req.ContentLength <= 0 {
+		return nil, nil
+	}
+	body := make([]byte, req.ContentLength)
+	if _, err := io.ReadFull(req.Body, body); err != nil {
+		return nil, fmt.Errorf("body: %w", err)
+	}
+	return body, nil
+}
+
+// isVisibleASCII reports whether text is of visible ASCII characters alone, and not empty.
+func isVisibleASCII(text string) bool {
+	for i := range len(text) {
+		if text[i] <= ' ' || text[i] > '~' {
+			return false
+		}
+	}
+	return text != ""
+}
+
+// isID reports whether text is an id: 16 hexadecimal digits.
+func isID(text string) bool {
+	_, err := strconv.ParseUint(text, 16, 64)
+	return err == nil && len(text) == 16
+}
+
+// forwardHead returns the head that is forwarded to endpoints, up to the value of
+// X-Expires-In-Ms, which differs between attempts.
+func forwardHead(req *http.Request, traceID, key string, length int) []byte {
+	b := make([]byte, 0, 256)
+	b = append(b, req.Method...)
+	b = append(b, ' ')
+	b = append(b, req.RequestURI...)
+	b = append(b, " HTTP/1.1\r\nHost: "...)
+	b = append(b, req.Host...)
+	b = append(b, "\r\nX-Trace-Id: "...)
+	b = append(b, traceID...)
+	if key != "" {
+		b = append(b, "\r\nIdempotency-Key: "...)
+		b = append(b, key...)
+	}
+	if req.Method == http.MethodPost {
+		b = append(b, "\r\nContent-Length: "...)
+		b = strconv.AppendInt(b, int64(length), 10)
+	}
+	return append(b, "\r\nX-Expires-In-Ms: "...)
+}
--- /dev/null
+++ b/internal/frontend/request_test.go
@@ -0,0 +1,126 @@
+package frontend
+
+import (
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"swiftpitch/internal/config"
+	"swiftpitch/internal/policy"
+)
+
+// parserSettings has one class of each idempotency.
+func parserSettings() *config.Settings {
+	return &config.Settings{
+		Gateways: 2,
+		Service:  config.Service{MaxRequestUnits: 6},
+		Plans:    []config.Plan{{Name: "basic"}},
+		Classes: []config.Class{
+			{Name: "lookup", Idempotency: config.Idempotency(policy.Idempotent), Deadline: time.Second},
+			{Name: "save", Idempotency: config.Idempotency(policy.IdempotentByKey), DedupWindow: time.Minute},
+			{Name: "merge", Idempotency: config.Idempotency(policy.NonIdempotent)},
+		},
+	}
+}
+
+// newHTTPRequest returns a well-formed request of a class.
+func newHTTPRequest(class string) *http.Request {
+	req := httptest.NewRequest(http.MethodGet, "/"+class+"/x?q=1", nil)
+	if class != "lookup" {
+		req = httptest.NewRequest(http.MethodPost, "/"+class+"/x?q=1", strings.NewReader("0123456789"))
+	}
+	req.Host = "api.internal"
+	req.Header = http.Header{"X-Trace-Id": {"00000000000000aa"}, "X-Qos": {class}, "Api-Plan": {"basic"},
+		"Api-Customer": {"00000000b4d65521"}, "X-Expires-In-Ms": {"3000"}, "Api-Terms": {"units=2,spread=2,first=1"}}
+	if class == "save" {
+		req.Header.Set("Idempotency-Key", "k-1")
+	}
+	return req
+}
+
+// Guards what a well-formed request is read as.
+func TestParse(t *testing.T) {
+	for i, want := range []struct {
+		class, body, head string
+		timeout, window   time.Duration
+	}{
+		{"lookup", "", "GET /lookup/x?q=1 HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: 00000000000000aa\r\nX-Expires-In-Ms: ",
+			time.Second, 0}, // the class's deadline is shorter than what the request names
+		{"save", "0123456789", "POST /save/x?q=1 HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: 00000000000000aa\r\n" +
+			"Idempotency-Key: k-1\r\nContent-Length: 10\r\nX-Expires-In-Ms: ", 3 * time.Second, time.Minute},
+		{"merge", "0123456789", "POST /merge/x?q=1 HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: 00000000000000aa\r\n" +
+			"Content-Length: 10\r\nX-Expires-In-Ms: ", 3 * time.Second, 0},
+	} {
+		got, err := NewParser(parserSettings()).Parse(newHTTPRequest(want.class))
+		if err != nil {
+			t.Errorf("%s: %v", want.class, err)
+			continue
+		}
+		event := policy.RequestReceived{RequestID: "00000000000000aa", Class: i, Tenant: 0xb4d65521, Timeout: want.timeout,
+			Units: 2, TenantGateways: 2}
+		if got.Event != event {
+			t.Errorf("%s: event %+v, want %+v", want.class, got.Event, event)
+		}
+		if string(got.ForwardHead) != want.head || string(got.Body) != want.body {
+			t.Errorf("%s: head %q, body %q", want.class, got.ForwardHead, got.Body)
+		}
+		if got.Deadline.Sub(got.ReceivedAt) != want.timeout || got.DedupWindow != want.window {
+			t.Errorf("%s: %v until the deadline, dedup window %v", want.class, got.Deadline.Sub(got.ReceivedAt), got.DedupWindow)
+		}
+	}
+}
+
+// Guards what a client reads of a malformed request, and that the error names the header
+// or class at fault.
+func TestParseErrors(t *testing.T) {
+	set := func(name string, values ...string) func(*http.Request) {
+		return func(req *http.Request) { req.Header[name] = values }
+	}
+	for _, c := range []struct {
+		class string
+		edit  func(*http.Request)
+		text  string
+	}{
+		{"lookup", func(req *http.Request) { req.ProtoMinor = 0 }, "wanted: HTTP/1.1 with a Content-Length"},
+		{"merge", func(req *http.Request) { req.TransferEncoding = []string{"chunked"} }, "wanted: HTTP/1.1 with a Content-Length"},
+		{"lookup", func(req *http.Request) { req.Host = "a b" }, "target or Host can't be passed on"},
+		{"lookup", set("X-Trace-Id"), "X-Trace-Id: wanted once"},
+		{"lookup", set("X-Qos", "lookup", "lookup"), "X-Qos: wanted once"},
+		{"lookup", set("Api-Terms", ""), "Api-Terms: wanted once"},
+		{"lookup", set("Api-Plan", "gold"), "unknown class or plan"},
+		{"lookup", set("X-Qos", "gold"), "unknown class or plan"},
+		{"lookup", set("X-Trace-Id", "aa"), "X-Trace-Id: no id"},
+		{"lookup", func(req *http.Request) { req.RequestURI = "/lookups" }, "the path is not of class lookup"},
+		{"lookup", set("Api-Customer", "00000002b4d65521"), "Api-Customer: no customer"},
+		{"lookup", set("X-Expires-In-Ms", "0"), "X-Expires-In-Ms: no number of milliseconds"},
+		{"lookup", set("Api-Terms", "units=NaN,spread=2,first=1"), `Api-Terms: "units" is no number`},
+		{"lookup", set("Api-Terms", "units=2,units=3"), "Api-Terms: units stands twice"},
+		{"lookup", set("Api-Terms", "units=7,spread=2,first=1"), "Api-Terms: units out of range"},
+		{"lookup", set("Api-Terms", "units=2,spread=1.5,first=1"), "Api-Terms: spread out of range"},
+		{"lookup", set("Api-Terms", "units=2,spread=2,first=2"), "Api-Terms: first out of range"},
+		{"lookup", set("Api-Terms", "units=2,spread=2,other=1"), "Api-Terms: units, spread and first are wanted"},
+		{"merge", set("Idempotency-Key", "k"), "method or Idempotency-Key does not fit class merge"},
+		{"save", set("Idempotency-Key", strings.Repeat("k", 257)), "method or Idempotency-Key does not fit class save"},
+		{"lookup", func(req *http.Request) { req.ContentLength = 1 }, "body too long"},
+		{"merge", func(req *http.Request) { req.ContentLength = MaxBodyBytes + 1 }, "body too long"},
+		{"merge", func(req *http.Request) { req.ContentLength = 11 }, "body: unexpected EOF"},
+	} {
+		req := newHTTPRequest(c.class)
+		c.edit(req)
+		_, err := NewParser(parserSettings()).Parse(req)
+		if err == nil || err.Error() != c.text {
+			t.Errorf("error %q, want %q", err, c.text)
+			continue
+		}
+		header, _, hasColon := strings.Cut(c.text, ": ")
+		if fault, ok := errors.AsType[*HeaderError](err); ok && (fault.Header != header || !hasColon) {
+			t.Errorf("%q names the header %q", c.text, fault.Header)
+		}
+		if fault, ok := errors.AsType[*ClassError](err); ok && fault.Class != c.class {
+			t.Errorf("%q names the class %q", c.text, fault.Class)
+		}
+	}
+}
