--- a/internal/decimal/decimal.go
+++ b/internal/decimal/decimal.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// maxLength bounds the text of a figure in bytes: no sender needs more digits, and
-// below it every figure is finite.
+// maxLength bounds the text of a figure in bytes; every figure of that length is finite
+// and below 1e32.
 const maxLength = 32
 
 // Parse reads a non-negative figure made of digits and at most one decimal point. It
--- a/internal/edge/clients.go
+++ b/internal/edge/clients.go
@@ -473,7 +473,7 @@
 
 func (n *Node) serveReady(w http.ResponseWriter) {
 	n.mu.Lock()
-	ready := !n.draining && n.pool.serving > 0
+	ready := !n.draining && n.pool.ServingEndpoints() > 0
 	n.mu.Unlock()
 	if n.clients.closing() {
 		w.Header().Set("Connection", "close")
--- a/internal/edge/counter.go
+++ b/internal/edge/counter.go
@@ -22,6 +22,7 @@
 	counterIdle     = 4 * time.Second // an idle connection is closed by this side first
 	counterPipeline = 512             // calls on the way at most
 	counterAnswer   = 4 << 10         // bytes of an answer at most
+	interimMost     = 8               // 1xx answers ahead of one answer
 	counterRetired  = 2 * time.Second // how long a connection to an old address may still deliver
 )
 
@@ -96,7 +97,7 @@
 // wake makes sure that a connection is there, or on the way, for the queue.
 func (k *counter) wake() {
 	if k.link == nil {
-		ctx, cancel := context.WithTimeout(k.node.ctx, k.node.pool.dial)
+		ctx, cancel := context.WithTimeout(k.node.ctx, k.node.pool.DialTimeout())
 		l := &link{cancel: cancel, ready: make(chan struct{}, 1)}
 		k.link = l
 		addr := k.addr
--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"log/slog"
+	"maps"
 	"net"
 	"net/http"
 	"strings"
@@ -44,7 +45,7 @@
 			defer r.node.mu.Unlock()
 			got := ""
 			for _, id := range []string{"a", "b", "c"} {
-				if s := r.node.pool.servers[id]; s != nil && s.drainedAt.IsZero() {
+				if endpoint := r.node.pool.Endpoint(id); endpoint != nil && endpoint.IsServing() {
 					got += id
 				}
 			}
@@ -103,8 +104,8 @@
 	}
 	r.node.mu.Lock()
 	defer r.node.mu.Unlock()
-	if len(r.node.pool.servers) != 1 || r.node.pool.servers["new"] == nil {
-		t.Errorf("app servers %v", r.node.pool.servers)
+	if endpoints := maps.Collect(r.node.pool.Endpoints()); len(endpoints) != 1 || endpoints["new"] == nil {
+		t.Errorf("app servers %v", endpoints)
 	}
 }
 
@@ -117,8 +118,8 @@
 	r.node.applyList(List{Instances: []Instance{{ID: "s-new", HostPort: app.addr, Zone: "a", Lifecycle: "SERVING"}}},
 		policy.IncrementalUpdate)
 	r.node.mu.Lock()
-	if p := &r.node.pool; p.servers["s-0"] != nil || p.servers["s-new"] == nil || p.serving != 1 || p.open != 0 {
-		t.Errorf("%d serving, %d connections, %v", p.serving, p.open, p.servers)
+	if p := r.node.pool; p.Endpoint("s-0") != nil || p.Endpoint("s-new") == nil || p.ServingEndpoints() != 1 || p.OpenConns() != 0 {
+		t.Errorf("%d serving, %d connections, %v", p.ServingEndpoints(), p.OpenConns(), maps.Collect(p.Endpoints()))
 	}
 	r.node.mu.Unlock()
 	if resp, _ := r.dial().ask(clientRequest("merge", "00000000000000bb")); resp.StatusCode != http.StatusOK {
@@ -261,8 +262,8 @@
 	eventually(t, "the news", func() bool {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		s := n.pool.servers["s-0"]
-		return s != nil && !s.drainedAt.IsZero()
+		endpoint := n.pool.Endpoint("s-0")
+		return endpoint != nil && !endpoint.IsServing()
 	})
 }
 
--- a/internal/edge/endpoints.go
+++ b/internal/edge/endpoints.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"swiftpitch/internal/policy"
+	"swiftpitch/internal/upstream"
 )
 
 var lifecycles = map[string]policy.EndpointState{"SERVING": policy.Serving, "DRAINING": policy.Draining,
@@ -29,18 +30,17 @@
 		}
 		entries = append(entries, policy.Endpoint{ID: e.ID, Zone: slices.Index(n.cfg.Settings.Zones, e.Zone),
 			Cell: e.Cell, Weight: e.Weight, StartedAt: policy.Time(e.StartedAt) * policy.Time(time.Millisecond), State: state})
-		n.pool.list(e.ID, e.HostPort, e.StartedAt, state, now)
+		n.pool.UpdateEndpoint(upstream.EndpointUpdate{ID: e.ID, Addr: e.HostPort, StartedAtMS: e.StartedAt, State: state}, now)
 	}
-	for id, s := range n.pool.servers {
-		switch by := held[s.addr]; {
+	for id, endpoint := range n.pool.Endpoints() {
+		switch by := held[endpoint.Addr()]; {
 		case named[id]:
 		case scope == policy.FullUpdate:
-			n.pool.list(id, "", 0, policy.Removed, now)
+			n.pool.RemoveEndpoint(id, now)
 		case by != "": // another process has its address: what is sent there would reach that one
-			n.pool.list(id, "", 0, policy.Removed, now)
+			n.pool.RemoveEndpoint(id, now)
 			entries = append(entries, policy.Endpoint{ID: id, State: policy.Removed})
 		}
 	}
-	n.pool.countServing()
 	n.post(policy.EndpointsUpdated{Scope: scope, Endpoints: entries})
 }
--- /dev/null
+++ b/internal/edge/healthcheck.go
@@ -0,0 +1,108 @@
+package edge
+
+import (
+	"context"
+	"net"
+	"time"
+
+	"swiftpitch/internal/policy"
+	"swiftpitch/internal/upstream"
+)
+
+// healthPath is where endpoints answer health checks.
+const healthPath = "/-/healthy"
+
+// pastDeadline ends all reading and writing of a connection at once.
+var pastDeadline = time.Unix(1, 0)
+
+// healthCheck is one health check under way.
+type healthCheck struct {
+	endpointID string
+	endpoint   *upstream.Endpoint
+	addr       string // of endpoint when the check started
+	startedAt  time.Time
+}
+
+// startHealthCheck checks an endpoint's health. The lock is held.
+func (n *Node) startHealthCheck(endpointID string) {
+	now := time.Now()
+	check := &healthCheck{endpointID: endpointID, endpoint: n.pool.Endpoint(endpointID), startedAt: now}
+	if check.endpoint == nil {
+		n.endHealthCheck(check, upstream.Response{Outcome: policy.ConnectFailed})
+		return
+	}
+	conn, ok := n.acquireConn(check.endpoint, now)
+	if !ok {
+		n.endHealthCheck(check, upstream.Response{Outcome: policy.ConnectFailed})
+		return
+	}
+	check.addr = check.endpoint.Addr()
+	n.worker.Go(func() { n.runHealthCheck(check, conn) })
+}
+
+// runHealthCheck carries a health check through on conn, or on a new connection if conn
+// is nil. It runs in the check's goroutine, without the lock.
+func (n *Node) runHealthCheck(check *healthCheck, conn *upstream.Conn) {
+	// A health check without a response within the dial timeout has failed.
+	ctx, cancel := context.WithTimeout(n.ctx, n.pool.DialTimeout())
+	defer cancel()
+	if conn == nil {
+		conn = n.connectHealthCheck(ctx, check)
+	}
+	response := upstream.Response{Outcome: policy.ConnectFailed}
+	if conn != nil {
+		response = exchangeHealthCheck(ctx, conn, check.addr)
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	switch {
+	case conn == nil:
+	case response.Reusable && !n.closed:
+		n.pool.Release(conn)
+	default:
+		n.pool.Evict(conn)
+	}
+	n.endHealthCheck(check, response)
+}
+
+// connectHealthCheck dials a connection for a health check, in the slot of the pool that
+// is reserved for it. It returns nil if the dial fails or the check may no longer start.
+func (n *Node) connectHealthCheck(ctx context.Context, check *healthCheck) *upstream.Conn {
+	netConn, err := n.dial(ctx, "tcp", check.addr)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	conn := n.adoptConn(netConn, err, check.endpoint, check.addr)
+	if conn == nil {
+		return nil
+	}
+	if !n.pool.AcceptsAttempts(check.endpoint, time.Now()) {
+		n.pool.Release(conn)
+		return nil
+	}
+	return conn
+}
+
+// exchangeHealthCheck sends a health check on a connection and reads the response. When
+// ctx ends it gives up; the connection is not reusable then.
+func exchangeHealthCheck(ctx context.Context, conn *upstream.Conn, addr string) upstream.Response {
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })
+	text := "GET " + healthPath + " HTTP/1.1\r\nHost: " + addr + "\r\n\r\n"
+	response := conn.Exchange(net.Buffers{[]byte(text)})
+	if !stop() {
+		response.Reusable = false
+	}
+	if ctx.Err() != nil && response.Outcome == policy.ConnectionLost {
+		response.Outcome = policy.TimedOut
+	}
+	return response
+}
+
+// endHealthCheck notifies the policy of a health check's result. The lock is held.
+func (n *Node) endHealthCheck(check *healthCheck, response upstream.Response) {
+	n.post(policy.HealthCheckDone{
+		Endpoint: check.endpointID,
+		Outcome:  response.Outcome,
+		Latency:  time.Since(check.startedAt),
+		Report:   response.LoadReport,
+	})
+}
--- a/internal/edge/leave_test.go
+++ b/internal/edge/leave_test.go
@@ -15,6 +15,7 @@
 
 	"swiftpitch/internal/policy"
 	"swiftpitch/internal/socket"
+	"swiftpitch/internal/upstream"
 )
 
 // forgotten waits until the node has noticed that the clients of all requests are gone.
@@ -58,8 +59,8 @@
 		eventually(t, "the end of the attempt", func() bool {
 			r.node.mu.Lock()
 			defer r.node.mu.Unlock()
-			s := r.node.pool.servers["s-0"]
-			return len(s.idle) == 1 // unused, and good for the next
+			endpoint := r.node.pool.Endpoint("s-0")
+			return len(endpoint.IdleConns()) == 1 // unused, and good for the next
 		})
 		if resp, _ := r.dial().ask(clientRequest(class, "00000000000000bb")); resp.StatusCode != http.StatusOK {
 			t.Errorf("%s: the next request: status %d", class, resp.StatusCode)
@@ -428,22 +429,22 @@
 		cfg.Settings.Limits.AllowCancel = cancel
 		r := startNode(t, cfg, app.addr)
 		r.dial().ask(clientRequest("lookup", "00000000000000aa"))
+		time.Sleep(2 * upstream.ReuseDelay)
 		r.node.mu.Lock()
-		s := r.node.pool.servers["s-0"]
-		if len(s.idle) != 1 {
-			t.Fatalf("%d connections rest", len(s.idle))
+		endpoint := r.node.pool.Endpoint("s-0")
+		if len(endpoint.IdleConns()) != 1 {
+			t.Fatalf("%d connections rest", len(endpoint.IdleConns()))
 		}
-		s.idle[0].since = time.Now().Add(-2 * restTime)
 		q := r.begin("00000000000000bb", nil)
-		if q.out != 1 || len(s.idle) != 0 {
-			t.Fatalf("%d attempts out, %d connections rest", q.out, len(s.idle))
+		if q.out != 1 || len(endpoint.IdleConns()) != 0 {
+			t.Fatalf("%d attempts out, %d connections rest", q.out, len(endpoint.IdleConns()))
 		}
 		r.node.left(q)
 		r.node.mu.Unlock()
 		eventually(t, "the end of the attempt", func() bool {
 			r.node.mu.Lock()
 			defer r.node.mu.Unlock()
-			return len(r.node.requests) == 0 && (cancel && r.node.pool.open == 0 || !cancel && len(s.idle) == 1)
+			return len(r.node.requests) == 0 && (cancel && r.node.pool.OpenConns() == 0 || !cancel && len(endpoint.IdleConns()) == 1)
 		})
 		if got := app.requests(); len(got) != 1 {
 			t.Errorf("cancelling %v: app server got %q", cancel, got)
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -19,6 +19,7 @@
 
 	"swiftpitch/internal/config"
 	"swiftpitch/internal/policy"
+	"swiftpitch/internal/upstream"
 )
 
 const (
@@ -69,7 +70,7 @@
 	stepping bool
 	actions  []policy.Action
 	requests map[string]*request
-	pool     pool
+	pool     *upstream.Pool
 	draining bool
 	over     bool // all is answered: the process is about to be killed
 	closed   bool
@@ -127,7 +128,7 @@
 	n.watches = newWatchTimes(cfg.Settings)
 	n.drain = newDrainTimes(n.longestDeadline())
 	n.ctx, n.stop = context.WithCancel(context.Background())
-	n.pool = newPool(cfg.Settings, cfg.Sockets)
+	n.pool = upstream.NewPool(cfg.Settings, maxUpstreamConns(cfg.Sockets))
 	n.clients = clientConns{most: 512, open: map[net.Conn]*clientConn{}}
 	n.clients.room = &n.bodies
 	n.bodies.Store(64 << 20)
@@ -157,7 +158,7 @@
 	n.stop()
 	n.mu.Lock()
 	n.closed = true
-	n.pool.closeAll()
+	n.pool.Close()
 	for _, r := range n.requests {
 		for _, a := range r.attempts {
 			a.abandon()
@@ -172,13 +173,13 @@
 
 // sweep drops idle connections until the node stops.
 func (n *Node) sweep() {
-	tick := time.NewTicker(n.pool.idleLimit / 8)
+	tick := time.NewTicker(n.pool.SweepInterval())
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
 			n.mu.Lock()
-			n.pool.expire(time.Now())
+			n.pool.EvictExpired(time.Now())
 			n.mu.Unlock()
 		case <-n.ctx.Done():
 			return
@@ -224,10 +225,10 @@
 func (n *Node) carryOut(a policy.Action) {
 	switch a := a.(type) {
 	case policy.StartAttempt:
-		n.send(a)
+		n.startAttempt(a)
 	case policy.CancelAttempt:
 		if r := n.requests[a.RequestID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
-			n.end(r.attempts[a.Attempt], policy.Canceled, policy.LoadReport{})
+			n.endAttempt(r.attempts[a.Attempt], policy.Canceled)
 		}
 	case policy.Reject:
 		n.finish(a.RequestID, answer{status: statusRefused, retryAfter: a.RetryAfter})
@@ -239,7 +240,7 @@
 		cookie := a.TimerID
 		n.after(a.After, func() { n.post(policy.TimerFired{TimerID: cookie}) })
 	case policy.CheckHealth:
-		n.probe(a.Endpoint)
+		n.startHealthCheck(a.Endpoint)
 	case policy.WatchEndpoints: // discovery is followed throughout
 	default:
 		n.log.Error("action not known to the driver", "action", fmt.Sprintf("%T", a))
@@ -331,17 +332,3 @@
 		delete(n.requests, r.id)
 	}
 }
-
-// end gives an attempt its one outcome and tells the module.
-func (n *Node) end(a *attempt, o policy.Outcome, report policy.LoadReport) {
-	if a.ended {
-		return
-	}
-	a.ended, a.unrun = true, o == policy.Overloaded || o == policy.ConnectFailed || o == policy.NotSent
-	a.abandon()
-	r := a.request
-	r.out--
-	n.post(policy.AttemptEnded{RequestID: r.id, Attempt: a.number, Endpoint: a.target, Outcome: o, Latency: time.Since(a.sent),
-		RequestDone: r.final, ActualUnits: a.units, Report: report})
-	n.release(r)
-}
--- a/internal/edge/node_test.go
+++ b/internal/edge/node_test.go
@@ -671,8 +671,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n.clients.most < 1 || n.pool.most < 1 || n.clients.most+n.pool.most+reservedDescriptors > sockets {
-			t.Errorf("of %d descriptors %d are for clients and %d for app servers", sockets, n.clients.most, n.pool.most)
+		if n.clients.most < 1 || n.pool.MaxConns() < 1 || n.clients.most+n.pool.MaxConns()+reservedDescriptors > sockets {
+			t.Errorf("of %d descriptors %d are for clients and %d for app servers", sockets, n.clients.most, n.pool.MaxConns())
 		}
 	}
 }
--- /dev/null
+++ b/internal/upstream/conn.go
@@ -0,0 +1,41 @@
+package upstream
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"syscall"
+	"time"
+
+	"swiftpitch/internal/socket"
+)
+
+// readBufferSize is the size of a connection's read buffer in bytes.
+const readBufferSize = 4 << 10
+
+// Conn is a connection to an endpoint. It carries one request at a time and has one
+// owner at a time: the pool while it is idle, else the goroutine that acquired it.
+type Conn struct {
+	net.Conn
+	endpoint  *Endpoint
+	addr      string // that was dialed; the endpoint may have moved since
+	limit     io.LimitedReader
+	reader    *bufio.Reader
+	idleSince time.Time // zero: never idle so far
+}
+
+// NewConn wraps a connection that was dialed to an endpoint at addr, in a slot of the
+// pool that [Pool.Reserve] gave.
+func NewConn(netConn net.Conn, endpoint *Endpoint, addr string) *Conn {
+	c := &Conn{Conn: netConn, endpoint: endpoint, addr: addr}
+	c.limit.R = netConn
+	c.reader = bufio.NewReaderSize(&c.limit, readBufferSize)
+	return c
+}
+
+// IsQuiet reports whether an idle connection is open and has nothing to read. A
+// connection that is no socket can't be asked and counts as quiet.
+func (c *Conn) IsQuiet() bool {
+	_, isSocket := c.Conn.(syscall.Conn)
+	return !isSocket || socket.Peek(c.Conn) == socket.Quiet
+}
--- /dev/null
+++ b/internal/upstream/exchange_test.go
@@ -0,0 +1,110 @@
+package upstream
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"swiftpitch/internal/policy"
+)
+
+// TestExchange checks the outcome of each way in which an exchange can end: only proof
+// that the request never ran counts as such, and only a complete response is passed on.
+func TestExchange(t *testing.T) {
+	for _, test := range []struct {
+		name, response string
+		outcome        policy.Outcome
+		reusable       bool
+	}{
+		{"succeeded", okResponse, policy.Succeeded, true},
+		{"succeeded, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", policy.Succeeded, true},
+		{"succeeded, closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nhello", policy.Succeeded, false},
+		{"succeeded after 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse, policy.Succeeded, true},
+		{"1xx without end", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2*maxInterimResponses) + okResponse, policy.ConnectionLost, false},
+		{"more than a response", okResponse + okResponse, policy.Succeeded, false},
+		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.ServerError, true},
+		{"overloaded", "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Overloaded, true},
+		{"deadline passed before it ran", "HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Overloaded, true},
+		{"503 with no proof", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.ServerError, true},
+		{"proof that is none", "HTTP/1.1 500 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.ServerError, true},
+		{"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", policy.ConnectionLost, false},
+		{"body with no end", "HTTP/1.1 200 OK\r\n\r\nhello", policy.ConnectionLost, false},
+		{"truncated proof", "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 9\r\n\r\nhello", policy.ConnectionLost, false},
+		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhello", policy.ConnectionLost, false},
+		{"a duplicate response behind", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", policy.Succeeded, false},
+		{"truncated head", "HTTP/1.1 200 OK\r\nContent-", policy.ConnectionLost, false},
+		{"nothing", "", policy.ConnectionLost, false},
+		{"noise", "\x00\xff\x00\r\n\r\n", policy.ConnectionLost, false},
+		{"body too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", maxBodySize+1, strings.Repeat("x", maxBodySize+1)), policy.ConnectionLost, false},
+		{"head too long", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*(maxBodySize+maxResponseHeadSize)), policy.ConnectionLost, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			addr := startServer(t, func(conn net.Conn, _ *http.Request) bool {
+				io.WriteString(conn, test.response)
+				return false
+			})
+			response := NewConn(dial(t, addr), nil, addr).Exchange(getRequest("/"))
+			if response.Outcome != test.outcome || response.Reusable != test.reusable {
+				t.Errorf("outcome %d, reusable %v", response.Outcome, response.Reusable)
+			}
+			if (response.Outcome == policy.Succeeded) != (string(response.Body) == "hello") {
+				t.Errorf("body %q", response.Body)
+			}
+		})
+	}
+}
+
+// TestPartialWrite checks that a connection that breaks before the request's last byte
+// is written proves that the request never ran.
+func TestPartialWrite(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	go func() {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		io.ReadFull(conn, make([]byte, 1))
+		conn.Close() // with unread bytes: a reset
+	}()
+	addr := listener.Addr().String()
+	text := "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 100000000\r\n\r\n" + strings.Repeat("x", 100000000)
+	response := NewConn(dial(t, addr), nil, addr).Exchange(net.Buffers{[]byte(text)})
+	if response.Outcome != policy.ConnectFailed || response.Reusable {
+		t.Errorf("outcome %d, reusable %v", response.Outcome, response.Reusable)
+	}
+}
+
+// TestDuplicateResponseCrossesNextRequest guards against a response made for another
+// request: a connection that has been idle for some milliseconds is not used yet. The
+// server sends a duplicate response to the first request just when the next one reaches
+// that connection, so that it would be the first thing read.
+func TestDuplicateResponseCrossesNextRequest(t *testing.T) {
+	addr := startServer(t, func(conn net.Conn, req *http.Request) bool {
+		if req.URL.Path == "/second" {
+			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother")
+		}
+		_, err := io.WriteString(conn, okResponse)
+		return err == nil
+	})
+	pool, endpoint := newTestPool(addr)
+	conn := NewConn(dial(t, addr), endpoint, addr)
+	if body := string(conn.Exchange(getRequest("/first")).Body); body != "hello" {
+		t.Fatalf("read %q", body)
+	}
+	pool.Release(conn)
+	// Duplicate responses were seen to arrive up to 6 ms after the first; the network may double that.
+	if early := pool.Acquire(endpoint, conn.idleSince.Add(12*time.Millisecond)); early != nil {
+		t.Errorf("the connection is used again so soon, and reads %q", early.Exchange(getRequest("/second")).Body)
+	}
+	if pool.Acquire(endpoint, conn.idleSince.Add(ReuseDelay)) != conn {
+		t.Error("the connection is not used again after the reuse delay")
+	}
+}
--- /dev/null
+++ b/internal/upstream/pool.go
@@ -0,0 +1,182 @@
+package upstream
+
+import (
+	"slices"
+	"time"
+
+	"swiftpitch/internal/config"
+	"swiftpitch/internal/policy"
+)
+
+// ReuseDelay is how long a connection stays idle before it takes the next request: what
+// a server sends behind its response has arrived by then and is seen. Duplicate
+// responses arrive "some milliseconds" late, and the network adds some more; one that
+// came after the delay would be taken for the response to the next request.
+const ReuseDelay = 25 * time.Millisecond
+
+// Defaults, used where the caller or the settings give no value.
+const (
+	defaultMaxConns    = 512 // connections; the number of descriptors isn't known
+	defaultDialTimeout = 250 * time.Millisecond
+	defaultIdleTimeout = 5 * time.Second
+)
+
+const (
+	// idleTimeoutDivisor divides the servers' idle timeout: the pool closes an idle
+	// connection well before its server does, whose close a request could cross.
+	idleTimeoutDivisor = 2
+	// sweepDivisor divides the pool's idle timeout: a connection stays open for at most
+	// that part of it longer.
+	sweepDivisor = 8
+)
+
+// Pool holds the endpoints and the connections to them. It has no lock: the edge node's
+// lock guards it and is held in every method.
+type Pool struct {
+	endpoints   map[string]*Endpoint // by id
+	serving     int                  // endpoints that take new requests
+	open        int                  // connections, those being dialed included
+	maxConns    int
+	dialTimeout time.Duration
+	idleTimeout time.Duration
+	drainGrace  time.Duration
+	idleAges    idleAgeStats
+}
+
+// NewPool returns a pool without endpoints. At most maxConns connections are open at a
+// time; 0 stands for a default.
+func NewPool(settings *config.Settings, maxConns int) *Pool {
+	p := &Pool{
+		endpoints:   map[string]*Endpoint{},
+		maxConns:    maxConns,
+		dialTimeout: settings.Limits.DialTimeout,
+		idleTimeout: settings.Limits.IdleClose / idleTimeoutDivisor,
+		drainGrace:  settings.Rules.DrainGrace,
+	}
+	if p.maxConns <= 0 {
+		p.maxConns = defaultMaxConns
+	}
+	if p.dialTimeout <= 0 {
+		p.dialTimeout = defaultDialTimeout
+	}
+	if p.idleTimeout <= 0 {
+		p.idleTimeout = defaultIdleTimeout
+	}
+	return p
+}
+
+// DialTimeout returns how long the dial of a connection may take.
+func (p *Pool) DialTimeout() time.Duration { return p.dialTimeout }
+
+// SweepInterval returns how often [Pool.EvictExpired] is to be called.
+func (p *Pool) SweepInterval() time.Duration { return p.idleTimeout / sweepDivisor }
+
+// OpenConns returns the number of open connections, those being dialed included.
+func (p *Pool) OpenConns() int { return p.open }
+
+// MaxConns returns the largest number of open connections.
+func (p *Pool) MaxConns() int { return p.maxConns }
+
+// Acquire returns an idle connection to an endpoint that has been idle for the reuse
+// delay and is still good, or nil. Connections found expired, stale or broken on the
+// way are closed.
+func (p *Pool) Acquire(endpoint *Endpoint, now time.Time) *Conn {
+	for i := len(endpoint.idle) - 1; i >= 0; i-- {
+		conn := endpoint.idle[i]
+		age := now.Sub(conn.idleSince)
+		if age < ReuseDelay {
+			continue
+		}
+		endpoint.idle = slices.Delete(endpoint.idle, i, i+1)
+		if age < p.idleTimeout && !p.idleAges.isStale(age) && conn.IsQuiet() {
+			return conn
+		}
+		p.Evict(conn)
+	}
+	return nil
+}
+
+// Reserve reserves a slot for one more connection and reports whether there is one. At
+// the limit the connection that has been idle longest is closed to free its slot.
+func (p *Pool) Reserve() bool {
+	if p.open >= p.maxConns && !p.evictOldestIdle() {
+		return false
+	}
+	p.open++
+	return true
+}
+
+// CancelReservation gives back a reserved slot whose dial failed.
+func (p *Pool) CancelReservation() { p.open-- }
+
+// evictOldestIdle closes the connection that has been idle longest and reports whether
+// there was one.
+func (p *Pool) evictOldestIdle() bool {
+	var oldest *Endpoint
+	for _, endpoint := range p.endpoints {
+		if len(endpoint.idle) == 0 {
+			continue
+		}
+		if oldest == nil || endpoint.idle[0].idleSince.Before(oldest.idle[0].idleSince) {
+			oldest = endpoint
+		}
+	}
+	if oldest == nil {
+		return false
+	}
+	p.Evict(oldest.idle[0])
+	oldest.idle = oldest.idle[1:]
+	return true
+}
+
+// Release puts back a connection that has no request under way. It is closed instead if
+// its endpoint drains, was removed or has moved.
+func (p *Pool) Release(conn *Conn) {
+	endpoint := conn.endpoint
+	listed := p.endpoints[endpoint.id] == endpoint
+	if !listed || endpoint.addr != conn.addr || !endpoint.IsServing() {
+		p.Evict(conn)
+		return
+	}
+	conn.idleSince = time.Now()
+	endpoint.idle = append(endpoint.idle, conn)
+}
+
+// Evict closes a connection and frees its slot. The connection must not be idle in the
+// pool any more.
+func (p *Pool) Evict(conn *Conn) {
+	conn.Close()
+	p.open--
+}
+
+// RecordReuse notes how the exchange on a connection ended, which began at writtenAt. It
+// is called right after the exchange, before the connection is released; connections
+// that had not been idle before tell nothing.
+func (p *Pool) RecordReuse(conn *Conn, writtenAt time.Time, outcome policy.Outcome) {
+	if conn.idleSince.IsZero() {
+		return
+	}
+	broken := outcome == policy.ConnectionLost && time.Since(writtenAt) < earlyBreakWindow
+	p.idleAges.record(writtenAt.Sub(conn.idleSince), broken)
+}
+
+// EvictExpired closes the connections that have been idle for the idle timeout.
+func (p *Pool) EvictExpired(now time.Time) {
+	for _, endpoint := range p.endpoints {
+		expired := 0
+		for expired < len(endpoint.idle) && now.Sub(endpoint.idle[expired].idleSince) >= p.idleTimeout {
+			p.Evict(endpoint.idle[expired])
+			expired++
+		}
+		if expired > 0 {
+			endpoint.idle = append([]*Conn(nil), endpoint.idle[expired:]...)
+		}
+	}
+}
+
+// Close closes all idle connections.
+func (p *Pool) Close() {
+	for _, endpoint := range p.endpoints {
+		p.evictIdle(endpoint)
+	}
+}
