--- a/internal/policy/event.go
+++ b/internal/policy/event.go
@@ -2,127 +2,137 @@
 
 import "time"
 
-// Time is a reading of the caller's clock: the time since an epoch that all
-// gateways share. It never goes backwards.
+// Time is a reading of the caller's clock: the time since an epoch that all gateways
+// share. It never goes backwards.
 type Time = time.Duration
 
-// Outcome is how an attempt, a probe or a counter call ended.
+// Outcome is how an attempt, a health check or a call to the counter ended.
 type Outcome int
 
-// EndpointState is what discovery says of a server.
-type EndpointState int
-
-// UpdateScope says how a [EndpointsUpdated] event relates to the list known so far.
-type UpdateScope int
-
+// The outcomes. Those of which it says so prove that the request never ran; after any
+// other the endpoint may have run it.
 const (
-	Succeeded      Outcome = iota // served
-	ServerError                   // an error came back; it may have run
-	Overloaded                    // turned away unseen
-	TimedOut                      // no answer in time; it may have run
+	Succeeded      Outcome = iota // answered with success
+	ServerError                   // answered with an error
+	Overloaded                    // rejected before it was run; it never ran
+	TimedOut                      // no answer in time
 	ConnectFailed                 // no connection; it never ran
-	ConnectionLost                // the connection broke; it may have run
-	Canceled                      // cancelled; it may have run
-	NotSent                       // not sent: the request was over or had used up its attempts
+	ConnectionLost                // the connection broke under the request
+	Canceled                      // canceled by this gateway
+	NotSent                       // never sent, as the request was done or had used up its attempts
 )
 
+// EndpointState is what discovery says of an endpoint.
+type EndpointState int
+
+// The states of an endpoint.
 const (
-	Serving  EndpointState = iota // takes work
-	Draining                      // finishes its work; send nothing new
-	Removed                       // gone
+	Serving  EndpointState = iota // takes new work
+	Draining                      // finishes its work and takes nothing new
+	Removed                       // no longer exists
 )
 
+// UpdateScope says how an [EndpointsUpdated] event relates to the list known so far.
+type UpdateScope int
+
+// The scopes of an update.
 const (
 	IncrementalUpdate UpdateScope = iota // only the entries that changed
-	FullUpdate                           // the whole list
-	CachedUpdate                         // the whole list as the gateway last had it; may be stale
-	FailedUpdate                         // asking for the list failed
+	FullUpdate                           // the complete list
+	CachedUpdate                         // the complete list as the gateway last had it; may be stale
+	FailedUpdate                         // no list: the call to discovery failed
 )
 
-// Event is something that happened to the gateway.
+// Event is something that happened to the gateway. The caller hands it to
+// [Gateway.Step].
 type Event interface{ event() }
 
-// Endpoint is one entry of a server list.
+// Endpoint is one entry of an endpoint list.
 type Endpoint struct {
 	ID        string
 	Zone      int
 	Cell      int
 	Weight    float64 // relative size, where the registry knows it
-	StartedAt Time    // last start; 0: long ago
+	StartedAt Time    // its last start; 0: long ago
 	State     EndpointState
 }
 
-// LoadReport is the load that a server tells of itself; nil values were not told.
+// LoadReport is the load that an endpoint reports of itself. A nil value was not
+// reported.
 type LoadReport struct {
-	InFlight, QueueLength, Utilization, LatencyMS *float64
+	InFlight    *float64 // requests in progress
+	QueueLength *float64 // requests that wait
+	Utilization *float64 // share of its capacity in use, 0 to 1
+	LatencyMS   *float64 // usual latency in milliseconds
 }
 
-type (
-	// EndpointsUpdated is news from discovery.
-	EndpointsUpdated struct {
-		Scope     UpdateScope
-		Endpoints []Endpoint
-	}
-	// RequestReceived is a client's request; it is owed exactly one final answer.
-	RequestReceived struct {
-		RequestID      string
-		Class, Plan    int
-		Tenant         uint64
-		Timeout        time.Duration // until the client gives up on this try
-		Units          float64
-		TenantGateways int  // gateways through which the customer's requests come
-		IsRetry        bool // marked by the client as a repeat
-	}
-	// AttemptEnded is the outcome of one attempt.
-	AttemptEnded struct {
-		RequestID   string
-		Attempt     int
-		Endpoint    string
-		Outcome     Outcome
-		Latency     time.Duration
-		RequestDone bool    // the request is over, by this outcome or before it
-		ActualUnits float64 // where units are trued up; else 0
-		RateUsed    int     // 1 + percent of the rate used; 0: not told
-		Report      LoadReport
-	}
-	// ResponseStarted tells that an attempt's answer has begun to flow to the client.
-	ResponseStarted struct {
-		RequestID string
-		Attempt   int
-		Endpoint  string
-		Latency   time.Duration
-	}
-	// HealthCheckDone is the result of a probe.
-	HealthCheckDone struct {
-		Endpoint string
-		Outcome  Outcome
-		Latency  time.Duration
-		Report   LoadReport
-	}
-	// ClientDisconnected tells that the client is gone: nothing more is owed.
-	ClientDisconnected struct{ RequestID string }
-	// CounterReplied answers one Count.
-	CounterReplied struct {
-		Key     uint64
-		Outcome Outcome
-		Total   float64
-	}
-	// TimerFired is a timer that ran out.
-	TimerFired struct{ TimerID uint64 }
-)
+// EndpointsUpdated is an update from discovery.
+type EndpointsUpdated struct {
+	Scope     UpdateScope
+	Endpoints []Endpoint // the caller may not change them afterwards
+}
 
-func (EndpointsUpdated) event() {}
+// RequestReceived is a client's complete request. The gateway owes it exactly one
+// final answer, unless the client disconnects first.
+type RequestReceived struct {
+	RequestID      string
+	Class          int // index into [Settings.Classes]
+	Plan           int // index into [Settings.Plans]
+	Tenant         uint64
+	Timeout        time.Duration // until the client gives up on this request
+	Units          float64       // what it counts against quota and hard limit
+	TenantGateways int           // gateways through which the tenant's requests come
+	IsRetry        bool          // marked by the client as a retry
+}
 
-func (RequestReceived) event() {}
+// AttemptEnded is the one outcome of an attempt.
+type AttemptEnded struct {
+	RequestID   string
+	Attempt     int // number of the attempt, from 0
+	Endpoint    string
+	Outcome     Outcome
+	Latency     time.Duration // since the attempt was started
+	RequestDone bool          // the request is done, by this outcome or before it
+	ActualUnits float64       // units really used, where endpoints report them; else 0
+	RateUsed    int           // 1 + percent of the plan's rate in use; 0: not reported
+	Report      LoadReport
+}
 
-func (AttemptEnded) event() {}
+// ResponseStarted says that the answer of an attempt began to flow to the client.
+type ResponseStarted struct {
+	RequestID string
+	Attempt   int
+	Endpoint  string
+	Latency   time.Duration // since the attempt was started
+}
 
-func (ResponseStarted) event() {}
+// HealthCheckDone is the result of a [CheckHealth] action.
+type HealthCheckDone struct {
+	Endpoint string
+	Outcome  Outcome
+	Latency  time.Duration
+	Report   LoadReport
+}
 
-func (HealthCheckDone) event() {}
+// ClientDisconnected says that a request's client is gone and is owed nothing more.
+type ClientDisconnected struct{ RequestID string }
 
-func (ClientDisconnected) event() {}
+// CounterReplied is the result of one [AddToCounter] action. Calls for the same key
+// are answered in their order.
+type CounterReplied struct {
+	Key     uint64
+	Outcome Outcome
+	Total   float64 // the counter's total after the addition, if Outcome is Succeeded
+}
 
-func (CounterReplied) event() {}
+// TimerFired says that the timer of a [StartTimer] action ran out.
+type TimerFired struct{ TimerID uint64 }
 
-func (TimerFired) event() {}
+func (EndpointsUpdated) event()   {}
+func (RequestReceived) event()    {}
+func (AttemptEnded) event()       {}
+func (ResponseStarted) event()    {}
+func (HealthCheckDone) event()    {}
+func (ClientDisconnected) event() {}
+func (CounterReplied) event()     {}
+func (TimerFired) event()         {}
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -2,77 +2,81 @@
 
 import "time"
 
-// Idempotency says what a repeat of a request of some class may do.
+// Idempotency says what a further attempt of a request may do.
 type Idempotency int
 
-// DedupScope names the servers that drop repeats of a keyed request.
-type DedupScope int
-
+// The kinds of idempotency, the least delicate first.
 const (
 	Idempotent      Idempotency = iota // any number of attempts does no harm
-	IdempotentByKey                    // repeats are dropped inside a group of servers for a while
+	IdempotentByKey                    // duplicates are dropped within a scope and a window
 	NonIdempotent                      // must never run twice
 )
 
+// DedupScope names the endpoints that drop duplicates of a request with an
+// idempotency key.
+type DedupScope int
+
+// The scopes of deduplication.
 const (
-	DedupFleet DedupScope = iota // every server
-	DedupZone                    // the servers of one zone
-	DedupCell                    // the servers of one cell
+	DedupFleet DedupScope = iota // every endpoint
+	DedupZone                    // the endpoints of one zone
+	DedupCell                    // the endpoints of one cell
 )
 
 // Class describes one kind of request.
 type Class struct {
-	LatencyObjective time.Duration // an answer within it earns full worth
-	Deadline         time.Duration // how long a client waits over all its tries
+	LatencyObjective time.Duration // an answer within it earns the whole priority weight
+	Deadline         time.Duration // how long a client waits over all its retries
 	Idempotency      Idempotency
-	DedupScope       DedupScope    // Keyed only
-	DedupWindow      time.Duration // Keyed only: how long repeats are dropped
-	LateWeight       float64       // share of the worth earned between aim and deadline
-	PriorityWeight   float64
-	Streaming        bool
+	DedupScope       DedupScope    // for IdempotentByKey only
+	DedupWindow      time.Duration // for IdempotentByKey only: how long duplicates are dropped
+	LateWeight       float64       // share of the weight earned between objective and deadline
+	PriorityWeight   float64       // what an answer is worth, relative to other classes
+	Streaming        bool          // the answer flows to the client as it comes
 }
 
-// Plan is what a customer may use, counted over all gateways together.
+// Plan is what a tenant may use, counted over all gateways together. Quota and hard
+// limit are token buckets.
 type Plan struct {
-	Rate               float64 // units per second that refill the quota; 0: none
-	Burst              float64 // units that the quota's store holds
-	MaxConcurrent      int     // attempts out at once; 0: no such cap
-	HardLimitRate      float64 // units per second of the hard ceiling; 0: none
-	HardLimitBurst     float64 // units that the ceiling's store holds
-	HardLimitTolerance float64 // units by which that store may go below zero
-	PriorityWeight     float64 // factor on the worth
-	OverQuotaWeight    float64 // share of the worth that a request beyond the quota earns
-	OverQuotaCost      float64 // share of the worth that sending it beyond the quota costs
+	Rate               float64 // units per second that refill the quota; 0: no quota
+	Burst              float64 // units that the quota's bucket holds
+	MaxConcurrent      int     // attempts in flight at once; 0: no limit
+	HardLimitRate      float64 // units per second that refill the hard limit; 0: no hard limit
+	HardLimitBurst     float64 // units that the hard limit's bucket holds
+	HardLimitTolerance float64 // units by which that bucket may go below zero
+	PriorityWeight     float64 // factor on the class's priority weight
+	OverQuotaWeight    float64 // share of the weight that a request beyond the quota earns
+	OverQuotaCost      float64 // share of the weight that forwarding it beyond the quota costs
 }
 
-// Settings is what a gateway is told when it starts. All fields are facts about
-// the deployment; none of them tunes a decision.
+// Settings is what a gateway is told when it starts. All fields are facts about the
+// deployment; none of them tunes a decision.
 type Settings struct {
-	Seed                uint64 // of this life's random numbers
+	Seed                uint64 // of all randomness of this incarnation
 	GatewayIndex        int    // number of this gateway, from 0
-	Gateways            int    // how many there are
-	Zone                int    // where this gateway stands
+	Gateways            int    // size of the fleet
+	Zone                int    // zone of this gateway
 	Classes             []Class
 	Plans               []Plan
-	MustSubscribe       bool          // discovery sends nothing unless subscribed to
-	SubscriptionTimeout time.Duration // without a subscription for this long, counts as told
+	MustSubscribe       bool          // discovery sends nothing without a subscription
+	SubscriptionTimeout time.Duration // after this long without one, changes count as notified
 	CounterEnabled      bool          // the counter service may be called
-	CounterTimeout      time.Duration // a counter call without an answer ends after this
-	MeterPeriod         time.Duration // period of the late meter; 0: none
-	ActualUnitsReported bool          // true units come with the answer
-	MaxRequestUnits     float64       // the most units that one request counts
+	CounterTimeout      time.Duration // a call to the counter without an answer ends after this
+	MeterPeriod         time.Duration // period of the delayed usage meter; 0: none
+	ActualUnitsReported bool          // answers report the units really used
+	MaxRequestUnits     float64       // the most units that one request counts; 0: not known
 
-	SlowStartCapacity float64       // a server starts with this share of its capacity or more
-	SlowStartDuration time.Duration // and is warm after this
-	OverloadMultiple  float64       // more than this times its present capacity
-	OverloadDuration  time.Duration // for this long makes a cold server fall over
+	SlowStartCapacity float64       // share of its capacity that an endpoint has at its start
+	SlowStartDuration time.Duration // until it has all of it
+	OverloadMultiple  float64       // a warming-up endpoint fails under this times its capacity
+	OverloadDuration  time.Duration // if that lasts for this long
 
-	AllowCancel               bool
-	AllowHealthChecks         bool
-	AllowHedging              bool // two attempts of one request may be out at once
-	AllowRetryAfter           bool // clients are told how long to hold off
-	MaxAttempts               int
-	MaxRetryAfter             time.Duration // the longest advice that clients heed
-	CrossZoneCost             float64       // price of an attempt that leaves the zone
-	LoadReportsInHealthChecks bool          // load reports come with probes only
+	AllowCancel               bool          // attempts may be canceled
+	AllowHealthChecks         bool          // endpoints may be asked for their health
+	AllowHedging              bool          // two attempts of a request may be in flight at once
+	AllowRetryAfter           bool          // clients heed Retry-After
+	MaxAttempts               int           // of one request
+	MaxRetryAfter             time.Duration // the longest Retry-After that clients heed
+	CrossZoneCost             float64       // cost of an attempt that leaves the zone
+	LoadReportsInHealthChecks bool          // load reports come with health checks only
 }
