--- a/internal/edge/handler.go
+++ b/internal/edge/handler.go
@@ -50,7 +50,7 @@
 // serveReady answers a readiness check.
 func (n *Node) serveReady(w http.ResponseWriter) {
 	n.mu.Lock()
-	ready := !n.draining && n.pool.serving > 0
+	ready := !n.draining && n.pool.ServingEndpoints() > 0
 	n.mu.Unlock()
 	if n.clients.Draining() {
 		w.Header().Set("Connection", "close")
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -18,9 +18,6 @@
 	bodyMemoryShare = 0.1
 	// defaultBodyMemory is how many bytes those may take where the memory is not configured.
 	defaultBodyMemory = 64 << 20
-
-	// bodyMost is the most bytes of a response's body.
-	bodyMost = frontend.MaxBodyBytes
 )
 
 // connectionsMost is how many connections of a kind there may be, by the descriptors that
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -48,8 +48,8 @@
 			t.Fatal(err)
 		}
 		clients := n.clients.Stats().MaxConns
-		if clients < 1 || n.pool.most < 1 || clients+n.pool.most+reservedDescriptors > sockets {
-			t.Errorf("of %d descriptors %d are for clients and %d for app servers", sockets, clients, n.pool.most)
+		if clients < 1 || n.pool.MaxConns() < 1 || clients+n.pool.MaxConns()+reservedDescriptors > sockets {
+			t.Errorf("of %d descriptors %d are for clients and %d for app servers", sockets, clients, n.pool.MaxConns())
 		}
 	}
 }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -19,6 +19,7 @@
 	"swiftpitch/internal/config"
 	"swiftpitch/internal/frontend"
 	"swiftpitch/internal/policy"
+	"swiftpitch/internal/upstream"
 )
 
 // Config is what an edge node is told when it starts.
@@ -58,7 +59,7 @@
 	stepping bool
 	actions  []policy.Action
 	requests map[string]*request
-	pool     pool
+	pool     *upstream.Pool
 	draining bool
 	over     bool // all is answered: the process is about to be killed
 	closed   bool
@@ -94,7 +95,7 @@
 	n.memory = frontend.NewMemoryBudget(bodyMemory(cfg.Memory))
 	n.clients = frontend.NewTracker(maxClientConns(cfg.Sockets), n.memory)
 	n.ctx, n.stop = context.WithCancel(context.Background())
-	n.pool = newPool(cfg.Settings, cfg.Sockets)
+	n.pool = upstream.NewPool(cfg.Settings, maxUpstreamConns(cfg.Sockets))
 	if cfg.Counter != "" {
 		n.counter = newCounter(n, cfg.Counter)
 	}
@@ -115,7 +116,7 @@
 	n.stop()
 	n.mu.Lock()
 	n.closed = true
-	n.pool.closeAll()
+	n.pool.Close()
 	for _, r := range n.requests {
 		for _, a := range r.attempts {
 			a.abandon()
@@ -130,13 +131,13 @@
 
 // sweep drops idle connections until the node stops.
 func (n *Node) sweep() {
-	tick := time.NewTicker(n.pool.idleLimit / 8)
+	tick := time.NewTicker(n.pool.SweepInterval())
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
 			n.mu.Lock()
-			n.pool.expire(time.Now())
+			n.pool.EvictExpired(time.Now())
 			n.mu.Unlock()
 		case <-n.ctx.Done():
 			return
@@ -182,7 +183,7 @@
 func (n *Node) carryOut(a policy.Action) {
 	switch a := a.(type) {
 	case policy.StartAttempt:
-		n.send(a)
+		n.startAttempt(a)
 	case policy.CancelAttempt:
 		n.cancelAttempt(a)
 	case policy.Reject:
@@ -194,7 +195,7 @@
 	case policy.StartTimer:
 		n.startTimer(a)
 	case policy.CheckHealth:
-		n.probe(a.Endpoint)
+		n.startHealthCheck(a.Endpoint)
 	case policy.WatchEndpoints: // discovery is followed throughout
 	default:
 		n.log.Error("action not known to the driver", "action", fmt.Sprintf("%T", a))
@@ -207,7 +208,7 @@
 	if r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
 		return
 	}
-	n.end(r.attempts[a.Attempt], policy.Canceled, policy.LoadReport{})
+	n.endAttempt(r.attempts[a.Attempt], policy.Canceled)
 }
 
 // startTimer tells the policy once a time has passed.
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -144,17 +144,3 @@
 		delete(n.requests, r.id)
 	}
 }
-
-// end gives an attempt its one outcome and tells the policy. The lock is held.
-func (n *Node) end(a *attempt, o policy.Outcome, report policy.LoadReport) {
-	if a.ended {
-		return
-	}
-	a.ended, a.unrun = true, o == policy.Overloaded || o == policy.ConnectFailed || o == policy.NotSent
-	a.abandon()
-	r := a.request
-	r.out--
-	n.post(policy.AttemptEnded{RequestID: r.id, Attempt: a.number, Endpoint: a.target, Outcome: o, Latency: time.Since(a.sent),
-		RequestDone: r.final, ActualUnits: a.units, Report: report})
-	n.release(r)
-}
