--- /dev/null
+++ b/internal/counterclient/connection.go
@@ -0,0 +1,225 @@
+package counterclient
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"time"
+
+	"swiftpitch/internal/policy"
+)
+
+const (
+	// unresponsiveTimeout is how long a response may be due before the connection is given
+	// up. It also bounds a write.
+	unresponsiveTimeout = 500 * time.Millisecond
+	// idleTimeout closes an idle connection before the counter service does, so that no call
+	// is written to a connection that is being closed.
+	idleTimeout = 4 * time.Second
+	// drainTimeout is how long a connection to a previous address may still deliver.
+	drainTimeout = 2 * time.Second
+	// readBufferSize is in bytes; many pipelined responses fit.
+	readBufferSize = 4 << 10
+)
+
+// connection is one connection to the counter service. One goroutine dials and writes,
+// another reads. The owner's lock guards all fields; conn is set once, before the goroutine
+// that reads starts, and is nil while the connection is dialed.
+type connection struct {
+	client   *Client
+	cancel   context.CancelFunc // of the dial
+	conn     net.Conn
+	awaiting []*pendingCall // written and not answered, oldest first
+	wakeup   chan struct{}  // tells the writer that there is something to do
+	draining bool           // it leads to a previous address: it takes no new calls
+	closed   bool
+}
+
+// connect begins to dial the client's address. The lock is held.
+func (c *Client) connect() *connection {
+	ctx, cancel := context.WithTimeout(c.options.Context, c.options.DialTimeout)
+	opened := &connection{client: c, cancel: cancel, wakeup: make(chan struct{}, 1)}
+	address := c.address
+	c.options.Go(func() { opened.run(ctx, address) })
+	return opened
+}
+
+// wake makes the writer look at the queue.
+func (c *connection) wake() {
+	select {
+	case c.wakeup <- struct{}{}:
+	default: // it has been woken and has not yet looked
+	}
+}
+
+// unresponsive reports whether a response has been due for too long. The lock is held.
+func (c *connection) unresponsive() bool {
+	return len(c.awaiting) > 0 && time.Since(c.awaiting[0].startedAt) > unresponsiveTimeout
+}
+
+// drain lets the connection deliver the responses that it owes and nothing more. The lock
+// is held.
+func (c *connection) drain() {
+	c.draining = true
+	if c.conn == nil || len(c.awaiting) == 0 {
+		c.close()
+		return
+	}
+	c.conn.SetReadDeadline(time.Now().Add(drainTimeout))
+	c.wake()
+}
+
+// close closes the connection. What was written to it may have been added. The lock is
+// held.
+func (c *connection) close() {
+	c.closed = true
+	c.cancel()
+	if c.conn != nil {
+		c.conn.Close()
+	}
+	for _, call := range c.awaiting {
+		c.client.complete(call, policy.TimedOut, 0)
+	}
+	c.awaiting = nil
+}
+
+// drop closes the connection after a failure. The lock is not held.
+func (c *connection) drop() {
+	c.client.lock.Lock()
+	defer c.client.lock.Unlock()
+	c.client.dropConnection(c)
+}
+
+// run dials address and writes calls until the connection fails, drains or is idle.
+func (c *connection) run(ctx context.Context, address string) {
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(ctx, "tcp", address)
+	if err != nil {
+		c.drop()
+		return
+	}
+	if !c.opened(conn) {
+		conn.Close()
+		return
+	}
+	c.client.options.Go(c.readLoop)
+	c.writeLoop()
+}
+
+// opened takes the dialed socket, and reports false if the connection was closed meanwhile.
+func (c *connection) opened(conn net.Conn) bool {
+	c.client.lock.Lock()
+	defer c.client.lock.Unlock()
+	if c.closed {
+		return false
+	}
+	c.conn = conn
+	return true
+}
+
+// writeLoop writes what is queued whenever it is woken.
+func (c *connection) writeLoop() {
+	idle := time.NewTimer(idleTimeout)
+	defer idle.Stop()
+	var buffer []byte
+	for {
+		select {
+		case <-c.wakeup:
+		case <-idle.C:
+			if c.closeIfIdle() {
+				return
+			}
+		case <-c.client.options.Context.Done():
+			c.drop()
+			return
+		}
+		var open bool
+		buffer, open = c.takeQueue(buffer[:0])
+		if !open {
+			return
+		}
+		idle.Reset(idleTimeout)
+		if len(buffer) > 0 && !c.write(buffer) {
+			return
+		}
+	}
+}
+
+// closeIfIdle closes the connection if no call waits to be written, and reports whether it
+// is closed.
+func (c *connection) closeIfIdle() bool {
+	c.client.lock.Lock()
+	defer c.client.lock.Unlock()
+	if !c.closed && !c.draining && len(c.client.queue) == 0 {
+		c.client.failAll()
+	}
+	return c.closed
+}
+
+// takeQueue moves the queued calls to those that await a response and appends their
+// requests to buffer. It reports false if the connection takes no more calls; one that
+// drains is the reader's to close.
+func (c *connection) takeQueue(buffer []byte) ([]byte, bool) {
+	c.client.lock.Lock()
+	defer c.client.lock.Unlock()
+	if c.closed || c.draining {
+		return buffer, false
+	}
+	for _, call := range c.client.queue {
+		buffer = append(buffer, call.request...)
+	}
+	c.awaiting = append(c.awaiting, c.client.queue...)
+	c.client.queue = nil
+	return buffer, true
+}
+
+// write writes requests and reports whether the connection is still good.
+func (c *connection) write(requests []byte) bool {
+	c.conn.SetWriteDeadline(time.Now().Add(unresponsiveTimeout))
+	if _, err := c.conn.Write(requests); err != nil {
+		c.drop()
+		return false
+	}
+	return true
+}
+
+// readLoop takes the responses in the order of their calls until the connection fails or
+// has delivered all that it owes.
+func (c *connection) readLoop() {
+	defer c.conn.Close()
+	defer c.drop()
+	bounded := &io.LimitedReader{R: c.conn}
+	reader := bufio.NewReaderSize(bounded, readBufferSize)
+	for {
+		bounded.N = maxResponseBytes
+		if reader.Buffered() == 0 {
+			if _, err := reader.Peek(1); err != nil {
+				return
+			}
+		}
+		if !c.deliver(readResponse(reader)) {
+			return
+		}
+	}
+}
+
+// deliver completes the oldest call that awaits a response, and reports whether the
+// connection is to read another.
+func (c *connection) deliver(received response) bool {
+	c.client.lock.Lock()
+	defer c.client.lock.Unlock()
+	if c.closed || len(c.awaiting) == 0 { // a response to no call
+		return false
+	}
+	call := c.awaiting[0]
+	c.awaiting[0] = nil
+	c.awaiting = c.awaiting[1:]
+	c.client.complete(call, received.outcome, received.total)
+	drained := c.draining && len(c.awaiting) == 0
+	if received.reusable && !drained {
+		return true
+	}
+	c.client.dropConnection(c) // before anything more is written to it
+	return false
+}
--- a/internal/edge/counter_test.go
+++ b/internal/edge/counter_test.go
@@ -63,7 +63,7 @@
 func (n *Node) testCount(name uint64, units float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.count(policy.AddToCounter{Key: name, Units: units, TTL: 1500 * time.Microsecond})
+	n.addToCounter(policy.AddToCounter{Key: name, Units: units, TTL: 1500 * time.Microsecond})
 }
 
 // Guards the form of a call and the order of pipelined answers.
--- a/internal/edge/discovery.go
+++ b/internal/edge/discovery.go
@@ -98,7 +98,7 @@
 		}
 	}
 	if n.counter != nil && counter != "" {
-		n.counter.move(counter)
+		n.counter.ChangeAddress(counter)
 	}
 }
 
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"swiftpitch/internal/config"
+	"swiftpitch/internal/counterclient"
 	"swiftpitch/internal/policy"
 )
 
@@ -78,7 +79,7 @@
 	discovery string          // its address
 	watch     context.Context // ends when that address changes
 	rewatch   context.CancelFunc
-	counter   *counter
+	counter   *counterclient.Client
 	failed    chan error // takes the one error that ends the node
 }
 
@@ -138,7 +139,7 @@
 		n.clients.most = connectionsMost(cfg.Sockets, clientShareOpen)
 	}
 	if cfg.Counter != "" {
-		n.counter = newCounter(n, cfg.Counter)
+		n.counter = n.newCounterClient(cfg.Counter)
 	}
 	return n, nil
 }
@@ -164,7 +165,7 @@
 		}
 	}
 	if n.counter != nil {
-		n.counter.fail(policy.ConnectFailed)
+		n.counter.Close()
 	}
 	n.mu.Unlock()
 	n.worker.Wait()
@@ -234,7 +235,7 @@
 	case policy.Fail:
 		n.finish(a.RequestID, answer{status: statusFailed})
 	case policy.AddToCounter:
-		n.count(a)
+		n.addToCounter(a)
 	case policy.StartTimer:
 		cookie := a.TimerID
 		n.after(a.After, func() { n.post(policy.TimerFired{TimerID: cookie}) })
