--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,5 +1,5 @@
-// Package backoff spaces out repeats of a failed call, so that many callers that
-// failed together do not come back together.
+// Package backoff spaces out the retries of a failed call by exponential backoff with full
+// jitter, so that many callers that failed together do not come back together.
 package backoff
 
 import (
@@ -7,22 +7,24 @@
 	"time"
 )
 
-// Backoff gives the waits before the calls: each is drawn evenly from a step
-// ("full jitter"), and the steps double from Least to Most. It is not safe for
-// concurrent use.
+// Backoff yields the delays before successive retries. The upper bound of a delay starts at
+// Min and doubles with each call of [Backoff.Next] up to Max; the delay is drawn uniformly
+// between zero and that bound. The fields must be set before the first call. A Backoff is
+// not safe for concurrent use.
 type Backoff struct {
-	Least, Most time.Duration
-	Rand        *rand.Rand
+	Min  time.Duration // bound of the first delay
+	Max  time.Duration // bound that no delay exceeds
+	Rand *rand.Rand    // source of the jitter
 
-	step time.Duration // of the next wait; 0: Least
+	bound time.Duration // of the next delay; 0: Min
 }
 
-// Next returns how long to wait before the next call.
+// Next returns the delay before the next retry.
 func (b *Backoff) Next() time.Duration {
-	d := min(max(b.step, b.Least), b.Most)
-	b.step = 2 * d
-	return time.Duration(b.Rand.Float64() * float64(d))
+	bound := min(max(b.bound, b.Min), b.Max)
+	b.bound = 2 * bound
+	return time.Duration(b.Rand.Float64() * float64(bound))
 }
 
-// Reset notes a success: the next failure starts from Least again.
-func (b *Backoff) Reset() { b.step = 0 }
+// Reset records a success: the delay after the next failure is bounded by Min again.
+func (b *Backoff) Reset() { b.bound = 0 }
--- a/internal/edge/watch.go
+++ b/internal/edge/watch.go
@@ -96,7 +96,7 @@
 func newWatchPlan(times watchTimes, seed uint64, known List) *watchPlan {
 	rng := rand.New(rand.NewPCG(seed, watchStream))
 	return &watchPlan{watchTimes: times, rng: rng, index: known.Generation, known: len(known.Instances) > 0,
-		pushed: backoff.Backoff{Least: times.least, Most: times.most, Rand: rng}}
+		pushed: backoff.Backoff{Min: times.least, Max: times.most, Rand: rng}}
 }
 
 // call prepares the next call to addr, or returns the time to wait before.
