--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"swiftpitch/internal/config"
+	"swiftpitch/internal/counterclient"
 	"swiftpitch/internal/policy"
 	"swiftpitch/internal/upstream"
 )
@@ -79,7 +80,7 @@
 	discovery string          // its address
 	watch     context.Context // ends when that address changes
 	rewatch   context.CancelFunc
-	counter   *counter
+	counter   *counterclient.Client
 	failed    chan error // takes the one error that ends the node
 }
 
@@ -139,7 +140,7 @@
 		n.clients.most = connectionsMost(cfg.Sockets, clientShareOpen)
 	}
 	if cfg.Counter != "" {
-		n.counter = newCounter(n, cfg.Counter)
+		n.counter = n.newCounterClient(cfg.Counter)
 	}
 	return n, nil
 }
@@ -165,7 +166,7 @@
 		}
 	}
 	if n.counter != nil {
-		n.counter.fail(policy.ConnectFailed)
+		n.counter.Close()
 	}
 	n.mu.Unlock()
 	n.worker.Wait()
@@ -235,7 +236,7 @@
 	case policy.Fail:
 		n.finish(a.RequestID, answer{status: statusFailed})
 	case policy.AddToCounter:
-		n.count(a)
+		n.addToCounter(a)
 	case policy.StartTimer:
 		cookie := a.TimerID
 		n.after(a.After, func() { n.post(policy.TimerFired{TimerID: cookie}) })
