--- /dev/null
+++ b/internal/socket/peek_test.go
@@ -0,0 +1,69 @@
+package socket
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+)
+
+// TestPeek checks the states of a peer, and that a look consumes nothing.
+func TestPeek(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	peer, err := net.Dial("tcp", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer peer.Close()
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(waitTimeout))
+
+	if state := Peek(conn); state != Quiet {
+		t.Errorf("before the peer writes: state %d, want %d", state, Quiet)
+	}
+	io.WriteString(peer, "x")
+	waitForState(t, conn, Readable)
+	peer.Close()
+	if state := Peek(conn); state != Readable {
+		t.Errorf("closed with a byte to read: state %d, want %d", state, Readable)
+	}
+	text, err := io.ReadAll(conn)
+	if err != nil || string(text) != "x" {
+		t.Errorf("read %q, %v", text, err)
+	}
+	waitForState(t, conn, Closed)
+	conn.Close()
+	if state := Peek(conn); state != Closed {
+		t.Errorf("closed on this side: state %d, want %d", state, Closed)
+	}
+}
+
+// TestPeekNoSocket checks that a connection that is no socket has an unknown state.
+func TestPeekNoSocket(t *testing.T) {
+	conn, peer := net.Pipe()
+	defer conn.Close()
+	defer peer.Close()
+	if state := Peek(conn); state != Unknown {
+		t.Errorf("state %d, want %d", state, Unknown)
+	}
+}
+
+// waitTimeout bounds every wait of these tests; none of them needs nearly as long.
+const waitTimeout = 20 * time.Second
+
+func waitForState(t *testing.T, conn net.Conn, want PeerState) {
+	t.Helper()
+	for end := time.Now().Add(waitTimeout); Peek(conn) != want; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("state %d is not reached within %v", want, waitTimeout)
+		}
+	}
+}
