--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"swiftpitch/internal/config"
+	"swiftpitch/internal/counterclient"
 	"swiftpitch/internal/frontend"
 	"swiftpitch/internal/policy"
 	"swiftpitch/internal/upstream"
@@ -68,7 +69,7 @@
 	discovery string          // its address
 	watch     context.Context // ends when that address changes
 	rewatch   context.CancelFunc
-	counter   *counter
+	counter   *counterclient.Client
 	failed    chan error // takes the one error that ends the node
 }
 
@@ -97,7 +98,7 @@
 	n.ctx, n.stop = context.WithCancel(context.Background())
 	n.pool = upstream.NewPool(cfg.Settings, maxUpstreamConns(cfg.Sockets))
 	if cfg.Counter != "" {
-		n.counter = newCounter(n, cfg.Counter)
+		n.counter = n.newCounterClient(cfg.Counter)
 	}
 	return n, nil
 }
@@ -123,7 +124,7 @@
 		}
 	}
 	if n.counter != nil {
-		n.counter.fail(policy.ConnectFailed)
+		n.counter.Close()
 	}
 	n.mu.Unlock()
 	n.worker.Wait()
@@ -191,7 +192,7 @@
 	case policy.Fail:
 		n.finish(a.RequestID, answer{status: statusFailed})
 	case policy.AddToCounter:
-		n.count(a)
+		n.addToCounter(a)
 	case policy.StartTimer:
 		n.startTimer(a)
 	case policy.CheckHealth:
