--- a/cmd/edgenode/main.go
+++ b/cmd/edgenode/main.go
@@ -18,6 +18,7 @@
 	"syscall"
 
 	"swiftpitch/internal/config"
+	"swiftpitch/internal/discovery"
 	"swiftpitch/internal/edge"
 	"swiftpitch/internal/policy"
 )
@@ -73,7 +74,7 @@
 	Counter   string          `json:"counter"`
 	Seed      string          `json:"seed"`
 	Limits    limits          `json:"limits"`
-	Known     edge.List       `json:"known"`
+	Known     discovery.List  `json:"known"`
 	Settings  json.RawMessage `json:"settings"`
 }
 
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-func newBackoff(seed uint64, least, most time.Duration) *Backoff {
-	return &Backoff{Min: least, Max: most, Rand: rand.New(rand.NewPCG(seed, 0))}
+func newBackoff(seed uint64, minBound, maxBound time.Duration) *Backoff {
+	return &Backoff{Min: minBound, Max: maxBound, Rand: rand.New(rand.NewPCG(seed, 0))}
 }
 
 func TestBoundDoublesUpToMaxAndResetsAfterSuccess(t *testing.T) {
--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"swiftpitch/internal/discovery"
 	"swiftpitch/internal/policy"
 )
 
@@ -98,7 +99,7 @@
 	if first, watch := <-after, <-after; first != "/api/targets" || !strings.Contains(watch, "index=7") {
 		t.Errorf("calls at the new address %q, %q", first, watch)
 	}
-	if time.Since(moved) >= pushedHold {
+	if time.Since(moved) >= discovery.WatchLongPollWait {
 		t.Error("the old watch was not called off")
 	}
 	r.node.mu.Lock()
@@ -114,7 +115,7 @@
 	app := startApp(t, say(hello))
 	r := startNode(t, testConfig(t), app.addr)
 	r.dial().ask(clientRequest("merge", "00000000000000aa"))
-	r.node.applyList(List{Instances: []Instance{{ID: "s-new", HostPort: app.addr, Zone: "a", Lifecycle: "SERVING"}}},
+	r.node.applyList(discovery.List{Instances: []discovery.Instance{{ID: "s-new", HostPort: app.addr, Zone: "a", Lifecycle: "SERVING"}}},
 		policy.IncrementalUpdate)
 	r.node.mu.Lock()
 	if p := &r.node.pool; p.servers["s-0"] != nil || p.servers["s-new"] == nil || p.serving != 1 || p.open != 0 {
@@ -138,33 +139,33 @@
 		return true
 	})
 	const fleet, failures = 80, 4
-	const window = askedSpread // 80 nodes would spread over longer than may be
-	quarters := [4]int{}       // of the window, in which nodes make their first call
+	const window = discovery.MaxJitterWindow // 80 nodes would spread over longer than may be
+	quarters := [4]int{}                     // of the window, in which nodes make their first call
 	for seed := range uint64(fleet) {
 		cfg := testConfig(t)
 		cfg.Discovery, cfg.Seed, cfg.Settings.Gateways = disco.addr, seed, fleet
 		cfg.Settings.DiscoveryMode, cfg.Settings.Rules.SubscriptionTimeout = "ask", 10*time.Second
-		cfg.Known = List{Generation: 41, Instances: []Instance{{ID: "s-0", HostPort: "127.0.0.1:9", Lifecycle: "SERVING"}}}
+		cfg.Known = discovery.List{Generation: 41, Instances: []discovery.Instance{{ID: "s-0", HostPort: "127.0.0.1:9", Lifecycle: "SERVING"}}}
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		var waits []time.Duration
 		paused := time.Now()
-		n.pause = func(_ context.Context, d time.Duration) {
+		n.discovery.Options.Pause = func(_ context.Context, d time.Duration) {
 			began := paused // of the call before, which followed the last pause at once
-			if period := d + time.Since(began); len(waits) > 0 && period < time.Duration((1-askedJitter)*float64(askedEvery)) {
+			if period := d + time.Since(began); len(waits) > 0 && period < time.Duration((1-discovery.PollIntervalJitter)*float64(discovery.MaxPollInterval)) {
 				t.Errorf("a call %v after the one before: %d nodes call too often", period, fleet)
 			}
-			if len(waits) > 0 && d+askedAnswer >= toldAfter {
-				t.Errorf("a wait of %v: what discovery had counts as told after %v", d, toldAfter)
+			if len(waits) > 0 && d+discovery.PollResponseAllowance >= discovery.NotificationDeadline {
+				t.Errorf("a wait of %v: what discovery had counts as told after %v", d, discovery.NotificationDeadline)
 			}
 			if waits = append(waits, d); len(waits) > failures {
 				n.stop()
 			}
 			paused = time.Now()
 		}
-		n.follow()
+		n.discovery.Run(n.ctx)
 		if len(waits) != failures+1 || waits[0] < 0 || waits[0] >= window {
 			t.Fatalf("waits %v, want %d and the first within %v", waits, failures+1, window)
 		}
@@ -195,14 +196,14 @@
 		})
 		cfg := testConfig(t)
 		cfg.Discovery, cfg.Settings.Rules.DrainGrace = disco.addr, grace
-		cfg.Known.Instances = []Instance{{ID: "s-0", Lifecycle: "SERVING"}}
+		cfg.Known.Instances = []discovery.Instance{{ID: "s-0", Lifecycle: "SERVING"}}
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		const failures = 8
 		waits := 0
-		n.pause = func(_ context.Context, d time.Duration) {
+		n.discovery.Options.Pause = func(_ context.Context, d time.Duration) {
 			if waits++; len(calls) < waits {
 				t.Errorf("grace %v: a wait of %v before call %d", grace, d, waits)
 			}
@@ -213,17 +214,17 @@
 				n.stop()
 			}
 		}
-		n.follow()
+		n.discovery.Run(n.ctx)
 	}
 }
 
 // Guards a watch that has fallen silent: it is given up and opened anew on another
 // connection, with what it missed, long before that counts as told.
 func TestSilentWatchIsOpenedAnew(t *testing.T) {
-	w := newWatchTimes(testConfig(t).Settings)
-	if told := 6 * time.Second; w.hold+w.slack+w.least >= told {
-		t.Errorf("a silent watch is opened anew after %v, what it misses counts as told after %v",
-			w.hold+w.slack+w.least, told)
+	timing := discovery.NewTiming(testConfig(t).Settings)
+	renewal := timing.LongPollWait + timing.SilenceMargin + timing.MinBackoff
+	if deadline := 6 * time.Second; renewal >= deadline {
+		t.Errorf("a silent watch is renewed after %v, what it misses counts as notified after %v", renewal, deadline)
 	}
 	ports := make(chan string, 64)
 	silent := make(chan struct{})
@@ -245,14 +246,15 @@
 		return true
 	})
 	cfg := testConfig(t)
+	cfg.Discovery = disco.addr
 	cfg.Known.Generation = 7
-	cfg.Known.Instances = []Instance{{ID: "s-0", HostPort: "127.0.0.1:9", Lifecycle: "SERVING"}}
+	cfg.Known.Instances = []discovery.Instance{{ID: "s-0", HostPort: "127.0.0.1:9", Lifecycle: "SERVING"}}
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.discovery, n.cfg.Discovery = disco.addr, disco.addr
-	n.watches.hold, n.watches.slack = 10*time.Millisecond, 10*time.Millisecond
+	n.discovery.Options.Timing.LongPollWait = 10 * time.Millisecond
+	n.discovery.Options.Timing.SilenceMargin = 10 * time.Millisecond
 	n.start()
 	defer n.close()
 	if _, first, second := <-ports, <-ports, <-ports; first == second {
@@ -290,29 +292,30 @@
 		cfg := testConfig(t)
 		cfg.Discovery, cfg.Seed, cfg.Settings.Gateways = disco.addr, seed, 300
 		cfg.Settings.DiscoveryMode, cfg.Settings.Rules.SubscriptionTimeout = "ask", 10*time.Second
-		cfg.Known.Instances = []Instance{{ID: "s-0", HostPort: "127.0.0.1:9", Lifecycle: "SERVING"}}
+		cfg.Known.Instances = []discovery.Instance{{ID: "s-0", HostPort: "127.0.0.1:9", Lifecycle: "SERVING"}}
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.watches.hold, n.watches.slack = hold, hold
+		n.discovery.Options.Timing.LongPollWait = hold
+		n.discovery.Options.Timing.SilenceMargin = hold
 		pauses := 0
-		n.pause = func(_ context.Context, d time.Duration) {
+		n.discovery.Options.Pause = func(_ context.Context, d time.Duration) {
 			if pauses++; pauses == 2 { // the first is that of the start
-				if d > toldAfter-askedAnswer || d <= 0 {
-					t.Errorf("seed %d: the new watch waits %v, what is missed counts as told after %v", seed, d, toldAfter)
+				if d > discovery.NotificationDeadline-discovery.PollResponseAllowance || d <= 0 {
+					t.Errorf("seed %d: the new watch waits %v, what is missed counts as told after %v", seed, d, discovery.NotificationDeadline)
 				}
 				n.stop()
 			}
 		}
-		n.follow()
+		n.discovery.Run(n.ctx)
 		close(silent)
 		if ms := <-waits; ms > 1 {
 			t.Errorf("seed %d: the first call is held for %d ms, which a hung one would cost", seed, ms)
 		}
 		for range 2 {
 			ms := <-waits
-			if float64(ms) < askedShortest*float64(hold.Milliseconds())-1 || ms > int(hold.Milliseconds()) {
+			if float64(ms) < discovery.MinLongPollWaitFraction*float64(hold.Milliseconds())-1 || ms > int(hold.Milliseconds()) {
 				t.Errorf("seed %d: a watch of %d ms", seed, ms)
 			}
 			holds[ms] = true
--- a/internal/edge/endpoints.go
+++ b/internal/edge/endpoints.go
@@ -4,21 +4,26 @@
 	"slices"
 	"time"
 
+	"swiftpitch/internal/discovery"
 	"swiftpitch/internal/policy"
 )
 
-var lifecycles = map[string]policy.EndpointState{"SERVING": policy.Serving, "DRAINING": policy.Draining,
-	"DELETED": policy.Removed}
+// endpointStates translates the lifecycles of discovery.
+var endpointStates = map[string]policy.EndpointState{
+	discovery.Serving:  policy.Serving,
+	discovery.Draining: policy.Draining,
+	discovery.Deleted:  policy.Removed,
+}
 
 // applyList takes news of the app servers and tells the module.
-func (n *Node) applyList(list List, scope policy.UpdateScope) {
+func (n *Node) applyList(list discovery.List, scope policy.UpdateScope) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
 	named, held := map[string]bool{}, map[string]string{}
 	entries := make([]policy.Endpoint, 0, len(list.Instances))
 	for _, e := range list.Instances {
-		state, ok := lifecycles[e.Lifecycle]
+		state, ok := endpointStates[e.Lifecycle]
 		if !ok || e.ID == "" {
 			n.log.Warn("discovery lists an app server in no known state", "id", e.ID, "lifecycle", e.Lifecycle)
 			continue
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -11,7 +11,6 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"net/http"
 	"runtime/debug"
 	"sync"
 	"sync/atomic"
@@ -19,6 +18,7 @@
 
 	"swiftpitch/internal/config"
 	"swiftpitch/internal/counterclient"
+	"swiftpitch/internal/discovery"
 	"swiftpitch/internal/policy"
 )
 
@@ -42,25 +42,23 @@
 	Seed      uint64
 	Sockets   int   // descriptors that the process may hold
 	Memory    int64 // bytes that it may take
-	Known     List
+	Known     discovery.List
 	Settings  *config.Settings
 }
 
 // Node is one edge node. All fields below mu are guarded by it; nothing that
 // blocks is done while it is held.
 type Node struct {
-	cfg       Config
-	log       *slog.Logger
-	began     time.Time   // reading of the monotonic clock that epoch belongs to
-	epoch     policy.Time // Unix time at began
-	ctx       context.Context
-	stop      context.CancelFunc
-	drain     drainTimes
-	pause     func(context.Context, time.Duration)                              // between calls to discovery
-	dial      func(ctx context.Context, network, addr string) (net.Conn, error) // to app servers
-	transport http.RoundTripper                                                 // of the calls to discovery
-	bodies    atomic.Int64                                                      // bytes of bodies that may still be taken in
-	worker    sync.WaitGroup                                                    // goroutines besides those of the listener
+	cfg    Config
+	log    *slog.Logger
+	began  time.Time   // reading of the monotonic clock that epoch belongs to
+	epoch  policy.Time // Unix time at began
+	ctx    context.Context
+	stop   context.CancelFunc
+	drain  drainTimes
+	dial   func(ctx context.Context, network, addr string) (net.Conn, error) // to app servers
+	bodies atomic.Int64                                                      // bytes of bodies that may still be taken in
+	worker sync.WaitGroup                                                    // goroutines besides those of the listener
 
 	clients clientConns // locks for itself
 
@@ -75,10 +73,7 @@
 	over     bool // all is answered: the process is about to be killed
 	closed   bool
 
-	watches   watchTimes
-	discovery string          // its address
-	watch     context.Context // ends when that address changes
-	rewatch   context.CancelFunc
+	discovery *discovery.Client
 	counter   *counterclient.Client
 	failed    chan error // takes the one error that ends the node
 }
@@ -117,15 +112,14 @@
 func New(cfg Config, log *slog.Logger) (*Node, error) {
 	began := time.Now()
 	n := &Node{cfg: cfg, log: log, began: began, epoch: policy.Time(began.UnixNano()),
-		requests: map[string]*request{}, pause: pause, dial: (&net.Dialer{}).DialContext,
-		transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true},
-		failed:    make(chan error, 1), discovery: cfg.Discovery}
+		requests: map[string]*request{}, dial: (&net.Dialer{}).DialContext,
+		failed: make(chan error, 1)}
 	gw, err := policy.New(n.epoch, cfg.Settings.Policy(cfg.Seed))
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	n.gateway = gw
-	n.watches = newWatchTimes(cfg.Settings)
+	n.discovery = n.newDiscoveryClient(cfg.Discovery)
 	n.drain = newDrainTimes(n.longestDeadline())
 	n.ctx, n.stop = context.WithCancel(context.Background())
 	n.pool = newPool(cfg.Settings, cfg.Sockets)
@@ -148,7 +142,7 @@
 func (n *Node) start() {
 	n.applyList(n.cfg.Known, policy.CachedUpdate)
 	if n.cfg.Discovery != "" {
-		n.worker.Go(n.follow)
+		n.worker.Go(func() { n.discovery.Run(n.ctx) })
 	}
 	n.worker.Go(n.sweep)
 }
--- a/internal/edge/node_test.go
+++ b/internal/edge/node_test.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"swiftpitch/internal/config"
+	"swiftpitch/internal/discovery"
 	"swiftpitch/internal/policy"
 )
 
@@ -60,7 +61,7 @@
 	t.Helper()
 	for i, a := range addrs {
 		cfg.Known.Instances = append(cfg.Known.Instances,
-			Instance{ID: fmt.Sprintf("s-%d", i), HostPort: a, Zone: "a", Lifecycle: "SERVING", Weight: 1})
+			discovery.Instance{ID: fmt.Sprintf("s-%d", i), HostPort: a, Zone: "a", Lifecycle: "SERVING", Weight: 1})
 	}
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/edge/servers_test.go
+++ b/internal/edge/servers_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"swiftpitch/internal/discovery"
 	"swiftpitch/internal/policy"
 )
 
@@ -374,7 +375,7 @@
 	broken.Store(true)
 	c.ask(clientRequest("merge", "00000000000000aa"))
 	broken.Store(false)
-	r.node.applyList(List{Instances: []Instance{{ID: "s-1", HostPort: b.addr, Zone: "a", Lifecycle: "SERVING"}}},
+	r.node.applyList(discovery.List{Instances: []discovery.Instance{{ID: "s-1", HostPort: b.addr, Zone: "a", Lifecycle: "SERVING"}}},
 		policy.IncrementalUpdate)
 	r.node.mu.Lock()
 	r.node.epoch += policy.Time(time.Minute)
