--- a/internal/counterclient/client.go
+++ b/internal/counterclient/client.go
@@ -34,11 +34,12 @@
 }
 
 // Client makes calls to the counter service over one pipelined connection, which it dials
-// when there is something to write. All fields are guarded by the owner's lock, and every
-// exported method requires that the caller holds it.
+// when there is something to write. Every method requires that the caller holds the owner's
+// lock, which guards all fields that change.
 type Client struct {
 	lock    sync.Locker // the owner's
 	options Options
+
 	address string
 	queue   []*pendingCall // to be written, oldest first
 	active  *connection    // takes new calls; nil: none
