--- a/internal/edge/harness_test.go
+++ b/internal/edge/harness_test.go
@@ -9,10 +9,12 @@
 	"net"
 	"net/http"
 	"strings"
-	"swiftpitch/internal/config"
 	"sync"
 	"testing"
 	"time"
+
+	"swiftpitch/internal/config"
+	"swiftpitch/internal/discovery"
 )
 
 // patience bounds every wait of these tests; none of them needs nearly as long.
@@ -54,7 +56,7 @@
 	t.Helper()
 	for i, a := range addrs {
 		cfg.Known.Instances = append(cfg.Known.Instances,
-			Instance{ID: fmt.Sprintf("s-%d", i), HostPort: a, Zone: "a", Lifecycle: "SERVING", Weight: 1})
+			discovery.Instance{ID: fmt.Sprintf("s-%d", i), HostPort: a, Zone: "a", Lifecycle: "SERVING", Weight: 1})
 	}
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
