--- /dev/null
+++ b/internal/config/policy.go
@@ -0,0 +1,74 @@
+package config
+
+import "swiftpitch/internal/policy"
+
+// loadReportsByPull is the [LoadReports] channel on which reports come with health checks only.
+const loadReportsByPull = "pull"
+
+// discoveryBySubscription is the [Settings] discovery mode in which discovery sends nothing
+// unless it is subscribed to.
+const discoveryBySubscription = "ask"
+
+// Policy returns the settings of the policy. The seed is that of this incarnation's random
+// numbers.
+func (s *Settings) Policy(seed uint64) policy.Settings {
+	settings := policy.Settings{
+		Seed:                      seed,
+		GatewayIndex:              s.GatewayIndex,
+		Gateways:                  s.Gateways,
+		Zone:                      s.Zone,
+		MustSubscribe:             s.DiscoveryMode == discoveryBySubscription,
+		SubscriptionTimeout:       s.Rules.SubscriptionTimeout,
+		CounterEnabled:            s.Service.CounterEnabled,
+		CounterTimeout:            s.Service.CounterTimeout,
+		MeterPeriod:               s.Service.MeterPeriod,
+		ActualUnitsReported:       s.Service.ActualUnitsReported,
+		MaxRequestUnits:           s.Service.MaxRequestUnits,
+		SlowStartCapacity:         s.Rules.SlowStartCapacity,
+		SlowStartDuration:         s.Rules.SlowStartDuration,
+		OverloadMultiple:          s.Rules.OverloadMultiple,
+		OverloadDuration:          s.Rules.OverloadDuration,
+		AllowCancel:               s.Limits.AllowCancel,
+		AllowHealthChecks:         s.Limits.AllowHealthChecks,
+		AllowHedging:              s.Limits.AllowHedging,
+		AllowRetryAfter:           s.Limits.AllowRetryAfter,
+		MaxAttempts:               s.Limits.MaxAttempts,
+		MaxRetryAfter:             s.Limits.MaxRetryAfter,
+		CrossZoneCost:             s.Costs.CrossZone,
+		LoadReportsInHealthChecks: s.LoadReports.Channel == loadReportsByPull,
+	}
+	for _, class := range s.Classes {
+		settings.Classes = append(settings.Classes, class.policy())
+	}
+	for _, plan := range s.Plans {
+		settings.Plans = append(settings.Plans, plan.policy())
+	}
+	return settings
+}
+
+func (c *Class) policy() policy.Class {
+	return policy.Class{
+		LatencyObjective: c.LatencyObjective,
+		Deadline:         c.Deadline,
+		Idempotency:      policy.Idempotency(c.Idempotency),
+		DedupScope:       policy.DedupScope(c.DedupScope),
+		DedupWindow:      c.DedupWindow,
+		LateWeight:       c.LateWeight,
+		PriorityWeight:   c.PriorityWeight,
+		Streaming:        c.Streaming,
+	}
+}
+
+func (p *Plan) policy() policy.Plan {
+	return policy.Plan{
+		Rate:               p.Rate,
+		Burst:              p.Burst,
+		MaxConcurrent:      p.MaxConcurrent,
+		HardLimitRate:      p.HardLimitRate,
+		HardLimitBurst:     p.HardLimitBurst,
+		HardLimitTolerance: p.HardLimitTolerance,
+		PriorityWeight:     p.PriorityWeight,
+		OverQuotaWeight:    p.OverQuotaWeight,
+		OverQuotaCost:      p.OverQuotaCost,
+	}
+}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,5 +1,8 @@
-// Package settings decodes the settings object that an edge node is started
-// with, on the simulator's wire and in a configuration file alike.
+// Package config decodes and checks what an edge node is started with: the settings object,
+// which the simulator's wire and the configuration file share, and the configuration file
+// itself. Its errors name the key at fault, see [KeyError].
+//
+// Nothing here keeps state: every function may be called from any goroutine.
 package config
 
 import (
@@ -10,8 +13,8 @@
 	"swiftpitch/internal/policy"
 )
 
-// Settings is the settings object; what neither program has a use for is left
-// out. Spans are nanoseconds.
+// Settings is the settings object. Keys that neither program has a use for are left out and
+// ignored. On the wire and in the file durations are nanoseconds.
 type Settings struct {
 	Gateways      int         `json:"nInstances"`
 	GatewayIndex  int         `json:"rank"`
@@ -40,7 +43,7 @@
 	DedupWindow      time.Duration `json:"window"`
 }
 
-// Plan is what a customer may use.
+// Plan is the quota and the hard limit of a tenant.
 type Plan struct {
 	Name               string  `json:"name"`
 	Burst              float64 `json:"depth"`
@@ -54,7 +57,7 @@
 	Rate               float64 `json:"refill"`
 }
 
-// Rules holds the figures of the rules.
+// Rules holds the figures that all services have in common.
 type Rules struct {
 	SubscriptionTimeout time.Duration `json:"askEvery"`
 	SlowStartCapacity   float64       `json:"coldFrom"`
@@ -85,78 +88,64 @@
 	AllowHedging      bool          `json:"secondCopies"`
 }
 
-// Costs holds what is taken off the result.
+// Costs holds what an attempt can cost.
 type Costs struct {
 	CrossZone float64 `json:"crossZone"`
 }
 
-// LoadReports says how load reports come: piggyback, pull or silent.
+// LoadReports says how load reports come: "piggyback", "pull" or "silent".
 type LoadReports struct {
 	Channel string `json:"via"`
 }
 
-// Idempotency is [policy.Idempotency] by its name on the wire.
+// Idempotency is a [policy.Idempotency] that is decoded from its name.
 type Idempotency policy.Idempotency
 
-// DedupScope is [policy.DedupScope] by its name on the wire.
+// DedupScope is a [policy.DedupScope] that is decoded from its name; an empty name is the
+// whole fleet.
 type DedupScope policy.DedupScope
 
-var (
-	effects = map[string]policy.Idempotency{"repeatable": policy.Idempotent, "by_key": policy.IdempotentByKey, "once": policy.NonIdempotent}
-	groups  = map[string]policy.DedupScope{"": policy.DedupFleet, "all": policy.DedupFleet, "zone": policy.DedupZone,
-		"cell": policy.DedupCell}
-)
+var idempotencyByName = map[string]policy.Idempotency{
+	"repeatable": policy.Idempotent,
+	"by_key":     policy.IdempotentByKey,
+	"once":       policy.NonIdempotent,
+}
 
-// UnmarshalText implements [encoding.TextUnmarshaler].
-func (e *Idempotency) UnmarshalText(text []byte) error {
-	v, ok := effects[string(text)]
-	if !ok {
-		return fmt.Errorf("unknown effect %q", text)
-	}
-	*e = Idempotency(v)
-	return nil
+var dedupScopeByName = map[string]policy.DedupScope{
+	"":     policy.DedupFleet,
+	"all":  policy.DedupFleet,
+	"zone": policy.DedupZone,
+	"cell": policy.DedupCell,
 }
 
-// UnmarshalText implements [encoding.TextUnmarshaler].
-func (g *DedupScope) UnmarshalText(text []byte) error {
-	v, ok := groups[string(text)]
+// UnmarshalText implements [encoding.TextUnmarshaler]. Its error is a [*KeyError] that wraps
+// [ErrUnknownValue].
+func (i *Idempotency) UnmarshalText(text []byte) error {
+	value, ok := idempotencyByName[string(text)]
 	if !ok {
-		return fmt.Errorf("unknown group %q", text)
+		return unknownValue("effect", text)
 	}
-	*g = DedupScope(v)
+	*i = Idempotency(value)
 	return nil
 }
 
-// Decode reads a settings object.
-func Decode(raw []byte) (*Settings, error) {
-	s := &Settings{}
-	if err := json.Unmarshal(raw, s); err != nil {
-		return nil, fmt.Errorf("malformed setup: %w", err)
+// UnmarshalText implements [encoding.TextUnmarshaler]. Its error is a [*KeyError] that wraps
+// [ErrUnknownValue].
+func (d *DedupScope) UnmarshalText(text []byte) error {
+	value, ok := dedupScopeByName[string(text)]
+	if !ok {
+		return unknownValue("group", text)
 	}
-	return s, nil
+	*d = DedupScope(value)
+	return nil
 }
 
-// Policy returns what the decision module is told, with the seed of this life.
-func (s *Settings) Policy(seed uint64) policy.Settings {
-	f, lim, c := &s.Service, &s.Limits, &s.Rules
-	set := policy.Settings{
-		Seed: seed, GatewayIndex: s.GatewayIndex, Gateways: s.Gateways, Zone: s.Zone,
-		MustSubscribe: s.DiscoveryMode == "ask", SubscriptionTimeout: c.SubscriptionTimeout,
-		CounterEnabled: f.CounterEnabled, CounterTimeout: f.CounterTimeout, MeterPeriod: f.MeterPeriod, ActualUnitsReported: f.ActualUnitsReported, MaxRequestUnits: f.MaxRequestUnits,
-		SlowStartCapacity: c.SlowStartCapacity, SlowStartDuration: c.SlowStartDuration, OverloadMultiple: c.OverloadMultiple, OverloadDuration: c.OverloadDuration,
-		AllowCancel: lim.AllowCancel, AllowHealthChecks: lim.AllowHealthChecks, AllowHedging: lim.AllowHedging, AllowRetryAfter: lim.AllowRetryAfter,
-		MaxAttempts: lim.MaxAttempts, MaxRetryAfter: lim.MaxRetryAfter, CrossZoneCost: s.Costs.CrossZone,
-		LoadReportsInHealthChecks: s.LoadReports.Channel == "pull",
-	}
-	for _, k := range s.Classes {
-		set.Classes = append(set.Classes, policy.Class{LatencyObjective: k.LatencyObjective, Deadline: k.Deadline,
-			Idempotency: policy.Idempotency(k.Idempotency), DedupScope: policy.DedupScope(k.DedupScope), DedupWindow: k.DedupWindow,
-			LateWeight: k.LateWeight, PriorityWeight: k.PriorityWeight, Streaming: k.Streaming})
-	}
-	for _, p := range s.Plans {
-		set.Plans = append(set.Plans, policy.Plan{Rate: p.Rate, Burst: p.Burst, MaxConcurrent: p.MaxConcurrent,
-			HardLimitRate: p.HardLimitRate, HardLimitBurst: p.HardLimitBurst, HardLimitTolerance: p.HardLimitTolerance,
-			PriorityWeight: p.PriorityWeight, OverQuotaWeight: p.OverQuotaWeight, OverQuotaCost: p.OverQuotaCost})
+// Decode reads a settings object. It checks the form alone: whether the values make sense is
+// for [policy.New] to say.
+func Decode(text []byte) (*Settings, error) {
+	settings := &Settings{}
+	if err := json.Unmarshal(text, settings); err != nil {
+		return nil, fmt.Errorf("malformed: %w", err)
 	}
-	return set
+	return settings, nil
 }
