--- a/cmd/edgenode/main.go
+++ b/cmd/edgenode/main.go
@@ -1,152 +1,112 @@
-// Command edgenode is one edge node: it serves clients through the app servers
-// that discovery lists, as the decision module says.
+// Command edgenode is one edge node: it forwards clients' requests to the app servers that
+// discovery lists, as the policy decides.
+//
+// It takes its configuration from the file that the environment variable RELAY_CONFIG names.
+// SIGHUP makes it read the file again and move to the addresses named there; SIGTERM and
+// SIGINT begin a graceful shutdown.
 package main
 
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"log/slog"
 	"math"
-	"net"
 	"os"
 	"os/signal"
 	"runtime"
 	"runtime/debug"
-	"strconv"
 	"syscall"
 
 	"swiftpitch/internal/config"
 	"swiftpitch/internal/edge"
-	"swiftpitch/internal/policy"
 )
 
 func main() {
-	hangup := make(chan os.Signal, 1) // first of all: unheeded, the signal ends the process
+	// SIGHUP is caught first of all: uncaught it would end the process.
+	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
+	if err := run(hangup); err != nil {
+		fmt.Fprintln(os.Stderr, "edgenode:", err)
+		os.Exit(1)
+	}
+}
+
+// run serves until a signal ends the node, and reloads its configuration at each hangup.
+func run(hangup <-chan os.Signal) error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	path := os.Getenv("RELAY_CONFIG")
+	path := os.Getenv(config.PathVariable)
 	cfg, limits, err := load(path)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "edgenode:", err)
-		os.Exit(1)
+		return err
 	}
-	limits.apply()
+	applyRuntimeLimits(limits)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	n, err := edge.New(cfg, log)
-	if err == nil {
-		go reload(hangup, path, n, log)
-		err = n.Run(ctx)
+	node, err := edge.New(cfg, log)
+	if err != nil {
+		return err
 	}
+	go reload(hangup, path, node, log)
+	return node.Run(ctx)
+}
+
+// load reads the configuration file and turns it into the node's configuration.
+func load(path string) (edge.Config, config.ProcessLimits, error) {
+	file, err := config.Load(path)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "edgenode:", err)
-		os.Exit(1)
+		return edge.Config{}, config.ProcessLimits{}, err
+	}
+	var known edge.List
+	if len(file.Known) > 0 {
+		if err := json.Unmarshal(file.Known, &known); err != nil {
+			err = &config.KeyError{Key: "known", Err: err}
+			return edge.Config{}, config.ProcessLimits{}, fmt.Errorf("configuration: %w", err)
+		}
 	}
+	return edge.Config{
+		Listen:    file.Listen,
+		Discovery: file.Discovery,
+		Counter:   file.Counter,
+		Seed:      file.Seed,
+		Sockets:   file.ProcessLimits.Sockets,
+		Memory:    file.ProcessLimits.MemoryBytes(),
+		Known:     known,
+		Settings:  file.Settings,
+	}, file.ProcessLimits, nil
 }
 
-// mover is what a new configuration acts on.
-type mover interface {
+// addressUpdater is what a new configuration acts on, an [edge.Node].
+type addressUpdater interface {
 	Move(discovery, counter string)
 }
 
-// reload reads the configuration anew at each signal, for as long as the process
-// runs. One that can't be used changes nothing.
-func reload(hangup <-chan os.Signal, path string, n mover, log *slog.Logger) {
+// reload reads the configuration anew at each signal until the channel is closed. One that
+// can't be used changes nothing.
+func reload(hangup <-chan os.Signal, path string, node addressUpdater, log *slog.Logger) {
 	for range hangup {
 		cfg, _, err := load(path)
 		if err != nil {
 			log.Error("kept the old configuration", "err", err)
 			continue
 		}
-		n.Move(cfg.Discovery, cfg.Counter)
+		node.Move(cfg.Discovery, cfg.Counter)
 		log.Info("took the new configuration", "discovery", cfg.Discovery, "counter", cfg.Counter)
 	}
 }
 
-// file is the configuration file.
-type file struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery"`
-	Counter   string          `json:"counter"`
-	Seed      string          `json:"seed"`
-	Limits    limits          `json:"limits"`
-	Known     edge.List       `json:"known"`
-	Settings  json.RawMessage `json:"settings"`
-}
-
-// limits is what the machine allows the process.
-type limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
-}
-
-// heapShare is the part of the memory that the runtime is told to stay below. Over
-// half of it is priced, and the kernel's part and the stacks come on top of the heap.
+// heapShare is the part of the memory limit that the runtime is told to stay below. Over half
+// of it is priced, and the kernel's part and the stacks come on top of the heap.
 const heapShare = 0.4
 
-// apply tells the runtime its limits. The collector keeps its usual pace: run more
-// seldom it lets the process grow through a long day, and growth is priced as well.
-func (l limits) apply() {
-	if l.Cores > 0 {
-		runtime.GOMAXPROCS(int(math.Ceil(l.Cores)))
-	}
-	if l.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(int64(l.MemoryMB)<<20)))
-	}
-}
-
-// load reads and checks the configuration.
-func load(path string) (edge.Config, limits, error) {
-	var f file
-	bad := func(err error) (edge.Config, limits, error) {
-		return edge.Config{}, f.Limits, fmt.Errorf("configuration: %w", err)
-	}
-	if path == "" {
-		return bad(errors.New("RELAY_CONFIG is not set"))
-	}
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return bad(err)
-	}
-	if err := json.Unmarshal(text, &f); err != nil {
-		return bad(err)
-	}
-	if f.Listen == "" {
-		f.Listen = os.Getenv("RELAY_LISTEN")
-	}
-	if f.Discovery == "" {
-		f.Discovery = os.Getenv("RELAY_DISCOVERY")
-	}
-	seed, err := strconv.ParseUint(f.Seed, 16, 64)
-	switch {
-	case err != nil:
-		return bad(fmt.Errorf("seed: %w", err))
-	case f.Listen == "":
-		return bad(errors.New("listen is missing"))
-	case f.Discovery == "":
-		return bad(errors.New("discovery is missing"))
-	case len(f.Settings) == 0:
-		return bad(errors.New("settings are missing"))
-	}
-	set, err := config.Decode(f.Settings)
-	if err != nil {
-		return bad(err)
-	}
-	if set.Service.CounterEnabled && f.Counter == "" {
-		return bad(errors.New("counter is missing"))
-	}
-	for name, addr := range map[string]string{"listen": f.Listen, "discovery": f.Discovery, "counter": f.Counter} {
-		if _, _, err := net.SplitHostPort(addr); err != nil && addr != "" {
-			return bad(fmt.Errorf("%s: %w", name, err))
-		}
+// applyRuntimeLimits tells the runtime the limits of the process. The garbage collector keeps
+// its usual pace: run more seldom it lets the process grow through a long day, and growth is
+// priced as well.
+func applyRuntimeLimits(limits config.ProcessLimits) {
+	if limits.Cores > 0 {
+		runtime.GOMAXPROCS(int(math.Ceil(limits.Cores)))
 	}
-	if _, err := policy.New(0, set.Policy(seed)); err != nil {
-		return bad(fmt.Errorf("settings: %w", err))
+	if limits.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(heapShare * float64(limits.MemoryBytes())))
 	}
-	return edge.Config{Listen: f.Listen, Discovery: f.Discovery, Counter: f.Counter, Seed: seed,
-		Sockets: f.Limits.Sockets, Memory: int64(f.Limits.MemoryMB) << 20, Known: f.Known, Settings: set}, f.Limits, nil
 }
