--- /dev/null
+++ b/cmd/simadapter/decode.go
@@ -0,0 +1,193 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+
+	"swiftpitch/internal/policy"
+)
+
+// messageEndpointsUpdated is the one event that refers to an earlier message.
+const messageEndpointsUpdated = "BackendsChanged"
+
+// eventDecoders has, by the name of a message, what turns it into an event. A nil event is one
+// that the policy has no use for.
+var eventDecoders = map[string]func(*message) (policy.Event, error){
+	"Accept":       decodeRequestReceived,
+	"Response":     decodeAttemptEnded,
+	"HeadReceived": decodeResponseStarted,
+	"Sampled":      decodeHealthCheckDone,
+	"ClientLeft":   decodeClientDisconnected,
+	"Reminder":     decodeTimerFired,
+	"Sum":          decodeCounterReplied,
+	"PeerData":     ignoreMessage, // the policy never talks to its peers
+}
+
+// Values on the wire and their meanings.
+var (
+	updateScopeByName = map[string]policy.UpdateScope{
+		"Partial":   policy.IncrementalUpdate,
+		"Complete":  policy.FullUpdate,
+		"Persisted": policy.CachedUpdate,
+		"Error":     policy.FailedUpdate,
+	}
+	endpointStateByName = map[string]policy.EndpointState{
+		"SERVING":  policy.Serving,
+		"DRAINING": policy.Draining,
+		"DELETED":  policy.Removed,
+	}
+	outcomeByName = map[string]policy.Outcome{
+		"pass":       policy.Succeeded,
+		"fault":      policy.ServerError,
+		"no_room":    policy.Overloaded,
+		"too_slow":   policy.TimedOut,
+		"no_route":   policy.ConnectFailed,
+		"cut":        policy.ConnectionLost,
+		"undone":     policy.Canceled,
+		"stale_send": policy.NotSent,
+	}
+)
+
+// decodeEvent turns a message into an event, nil if the policy has no use for it.
+func (a *adapter) decodeEvent(m *message) (policy.Event, error) {
+	if m.Name == messageEndpointsUpdated {
+		return a.decodeEndpointsUpdated(m)
+	}
+	decode, ok := eventDecoders[m.Name]
+	if !ok {
+		return nil, errUnknownMessage
+	}
+	return decode(m)
+}
+
+// decodeEndpointsUpdated takes the endpoints from the list that an earlier message gave.
+func (a *adapter) decodeEndpointsUpdated(m *message) (policy.Event, error) {
+	scope, ok := updateScopeByName[m.Scope]
+	if !ok {
+		return nil, fmt.Errorf("unknown scope %q", m.Scope)
+	}
+	if scope == policy.FailedUpdate {
+		return policy.EndpointsUpdated{Scope: scope}, nil
+	}
+	endpoints, ok := a.endpointLists[m.ListNumber]
+	if !ok {
+		return nil, fmt.Errorf("page %d was never listed", m.ListNumber)
+	}
+	return policy.EndpointsUpdated{Scope: scope, Endpoints: endpoints}, nil
+}
+
+func decodeRequestReceived(m *message) (policy.Event, error) {
+	if m.RequestID == "" || m.Timeout < 0 || m.Units < 0 {
+		return nil, errors.New("no xid, or negative ttl or quotaUnits")
+	}
+	return policy.RequestReceived{
+		RequestID:      m.RequestID,
+		Class:          m.Class,
+		Plan:           m.Plan,
+		Tenant:         m.Tenant,
+		Timeout:        m.Timeout,
+		Units:          m.Units,
+		TenantGateways: int(m.TenantGateways),
+		IsRetry:        m.IsRetry,
+	}, nil
+}
+
+func decodeAttemptEnded(m *message) (policy.Event, error) {
+	outcome, err := m.outcome()
+	if err != nil {
+		return nil, err
+	}
+	return policy.AttemptEnded{
+		RequestID:   m.RequestID,
+		Attempt:     m.Attempt,
+		Endpoint:    m.EndpointID,
+		Outcome:     outcome,
+		Latency:     m.Latency,
+		RequestDone: m.RequestDone,
+		ActualUnits: m.ActualUnits,
+		RateUsed:    m.RateUsed,
+		Report:      m.loadReport(),
+	}, nil
+}
+
+func decodeResponseStarted(m *message) (policy.Event, error) {
+	return policy.ResponseStarted{
+		RequestID: m.RequestID,
+		Attempt:   m.Attempt,
+		Endpoint:  m.EndpointID,
+		Latency:   m.Latency,
+	}, nil
+}
+
+func decodeHealthCheckDone(m *message) (policy.Event, error) {
+	outcome, err := m.outcome()
+	if err != nil {
+		return nil, err
+	}
+	return policy.HealthCheckDone{
+		Endpoint: m.EndpointID,
+		Outcome:  outcome,
+		Latency:  m.Latency,
+		Report:   m.loadReport(),
+	}, nil
+}
+
+func decodeClientDisconnected(m *message) (policy.Event, error) {
+	return policy.ClientDisconnected{RequestID: m.RequestID}, nil
+}
+
+func decodeTimerFired(m *message) (policy.Event, error) {
+	return policy.TimerFired{TimerID: m.TimerID}, nil
+}
+
+func decodeCounterReplied(m *message) (policy.Event, error) {
+	outcome, err := m.outcome()
+	if err != nil {
+		return nil, err
+	}
+	return policy.CounterReplied{Key: m.CounterKey, Outcome: outcome, Total: m.CounterTotal}, nil
+}
+
+func ignoreMessage(*message) (policy.Event, error) { return nil, nil }
+
+// outcome returns the outcome that a message reports.
+func (m *message) outcome() (policy.Outcome, error) {
+	outcome, ok := outcomeByName[m.Outcome]
+	if !ok {
+		return 0, fmt.Errorf("unknown result %q", m.Outcome)
+	}
+	return outcome, nil
+}
+
+// loadReport returns the load report that came with a message, empty if none came.
+func (m *message) loadReport() policy.LoadReport {
+	if m.LoadReport == nil {
+		return policy.LoadReport{}
+	}
+	return policy.LoadReport{
+		InFlight:    m.LoadReport.InFlight,
+		QueueLength: m.LoadReport.QueueLength,
+		Utilization: m.LoadReport.Utilization,
+		LatencyMS:   m.LoadReport.LatencyMS,
+	}
+}
+
+// endpoints returns the endpoints that a message lists.
+func (m *message) endpoints() ([]policy.Endpoint, error) {
+	endpoints := make([]policy.Endpoint, 0, len(m.Endpoints))
+	for _, entry := range m.Endpoints {
+		state, ok := endpointStateByName[entry.State]
+		if !ok || entry.ID == "" {
+			return nil, fmt.Errorf("server %q in unknown state %q", entry.ID, entry.State)
+		}
+		endpoints = append(endpoints, policy.Endpoint{
+			ID:        entry.ID,
+			Zone:      entry.Zone,
+			Cell:      entry.Cell,
+			Weight:    entry.Weight,
+			StartedAt: entry.StartedAt,
+			State:     state,
+		})
+	}
+	return endpoints, nil
+}
--- a/cmd/simadapter/wire.go
+++ b/cmd/simadapter/wire.go
@@ -2,104 +2,118 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"time"
 
-	"swiftpitch/internal/config"
 	"swiftpitch/internal/policy"
 )
 
-// line is any event on the wire; fields that a message lacks stay zero.
-type line struct {
-	Msg       string          `json:"msg"`
-	NodeID    *int            `json:"nodeId"`
-	SimTime   *int64          `json:"simTime"`
-	Entropy   uint64          `json:"entropy"`
-	Setup     json.RawMessage `json:"setup"`
-	Page      int             `json:"page"`
-	Rows      []row           `json:"rows"`
-	Scope     string          `json:"scope"`
-	XID       string          `json:"xid"`
-	Priority  int             `json:"priority"`
-	Terms     int             `json:"terms"`
-	Account   uint64          `json:"account"`
-	TTL       time.Duration   `json:"ttl"`
-	Units     float64         `json:"quotaUnits"`
-	Spread    float64         `json:"spread"`
-	IsRetry   bool            `json:"isRetry"`
-	Hop       int             `json:"hop"`
-	Server    string          `json:"server"`
-	Result    string          `json:"result"`
-	Lag       time.Duration   `json:"lag"`
-	Terminal  bool            `json:"terminal"`
-	TrueUnits float64         `json:"trueUnits"`
-	Metered   int             `json:"metered"`
-	Telemetry *telemetry      `json:"telemetry"`
-	Cookie    uint64          `json:"cookie"`
-	EntryName uint64          `json:"entryName"`
-	Reading   float64         `json:"reading"`
+// Names of the messages that the adapter itself handles; decode.go has those that become events.
+const (
+	messageRound     = "Round"     // begins a batch and sets the time
+	messageGo        = "Go"        // ends a batch
+	messageInventory = "Inventory" // gives a numbered list of endpoints
+	messageStart     = "Start"     // starts an instance
+	messagePowerOff  = "PowerOff"  // ends an instance
+)
+
+// message is any message of the simulator. One type serves them all, so that each line is parsed
+// once; fields that a message lacks stay zero. Durations are nanoseconds.
+type message struct {
+	Name           string          `json:"msg"`
+	InstanceID     *int            `json:"nodeId"`
+	Time           *int64          `json:"simTime"`
+	Seed           uint64          `json:"entropy"`
+	Settings       json.RawMessage `json:"setup"`
+	ListNumber     int             `json:"page"`
+	Endpoints      []endpoint      `json:"rows"`
+	Scope          string          `json:"scope"`
+	RequestID      string          `json:"xid"`
+	Class          int             `json:"priority"`
+	Plan           int             `json:"terms"`
+	Tenant         uint64          `json:"account"`
+	Timeout        time.Duration   `json:"ttl"`
+	Units          float64         `json:"quotaUnits"`
+	TenantGateways float64         `json:"spread"`
+	IsRetry        bool            `json:"isRetry"`
+	Attempt        int             `json:"hop"`
+	EndpointID     string          `json:"server"`
+	Outcome        string          `json:"result"`
+	Latency        time.Duration   `json:"lag"`
+	RequestDone    bool            `json:"terminal"`
+	ActualUnits    float64         `json:"trueUnits"`
+	RateUsed       int             `json:"metered"`
+	LoadReport     *loadReport     `json:"telemetry"`
+	TimerID        uint64          `json:"cookie"`
+	CounterKey     uint64          `json:"entryName"`
+	CounterTotal   float64         `json:"reading"`
 }
 
-type telemetry struct {
-	RIF  *float64 `json:"rif"`
-	Q    *float64 `json:"q"`
-	Busy *float64 `json:"busy"`
-	Lat  *float64 `json:"lat_ms"`
+// loadReport is a [policy.LoadReport] on the wire.
+type loadReport struct {
+	InFlight    *float64 `json:"rif"`
+	QueueLength *float64 `json:"q"`
+	Utilization *float64 `json:"busy"`
+	LatencyMS   *float64 `json:"lat_ms"`
 }
 
-type row struct {
-	Server  string      `json:"server"`
-	Nominal float64     `json:"nominal"`
-	Cluster int         `json:"cluster"`
-	Born    policy.Time `json:"born"`
-	Zone    int         `json:"zone"`
-	State   string      `json:"state"`
+// endpoint is a [policy.Endpoint] on the wire.
+type endpoint struct {
+	ID        string      `json:"server"`
+	Weight    float64     `json:"nominal"`
+	Cell      int         `json:"cluster"`
+	StartedAt policy.Time `json:"born"`
+	Zone      int         `json:"zone"`
+	State     string      `json:"state"`
 }
 
-var (
-	scopes = map[string]policy.UpdateScope{"Partial": policy.IncrementalUpdate, "Complete": policy.FullUpdate,
-		"Persisted": policy.CachedUpdate, "Error": policy.FailedUpdate}
-	states = map[string]policy.EndpointState{"SERVING": policy.Serving, "DRAINING": policy.Draining,
-		"DELETED": policy.Removed}
-	outcomes = map[string]policy.Outcome{"pass": policy.Succeeded, "fault": policy.ServerError, "no_room": policy.Overloaded,
-		"too_slow": policy.TimedOut, "no_route": policy.ConnectFailed, "cut": policy.ConnectionLost, "undone": policy.Canceled,
-		"stale_send": policy.NotSent}
-)
+// endLine ends the reply to a batch.
+const endLine = `{"msg":"End"}` + "\n"
 
-func (l *line) outcome() (policy.Outcome, error) {
-	o, ok := outcomes[l.Result]
-	if !ok {
-		return 0, fmt.Errorf("unknown result %q", l.Result)
-	}
-	return o, nil
+// replyHeader begins every line of a reply but the last.
+type replyHeader struct {
+	Name       string `json:"msg"`
+	InstanceID int    `json:"nodeId"`
 }
 
-func (l *line) report() policy.LoadReport {
-	if l.Telemetry == nil {
-		return policy.LoadReport{}
+// The wire forms of the actions; the order of the fields is that on the wire.
+type (
+	startAttemptReply struct {
+		replyHeader
+		RequestID  string        `json:"xid,omitempty"`
+		EndpointID string        `json:"server,omitempty"`
+		Timeout    time.Duration `json:"tryFor,omitempty"`
 	}
-	t := l.Telemetry
-	return policy.LoadReport{InFlight: t.RIF, QueueLength: t.Q, Utilization: t.Busy, LatencyMS: t.Lat}
-}
-
-func (l *line) servers() ([]policy.Endpoint, error) {
-	list := make([]policy.Endpoint, 0, len(l.Rows))
-	for _, r := range l.Rows {
-		state, ok := states[r.State]
-		if !ok || r.Server == "" {
-			return nil, fmt.Errorf("Inventory: server %q in unknown state %q", r.Server, r.State)
-		}
-		list = append(list, policy.Endpoint{ID: r.Server, Zone: r.Zone, Cell: r.Cluster, Weight: r.Nominal,
-			StartedAt: r.Born, State: state})
+	cancelAttemptReply struct {
+		replyHeader
+		RequestID string `json:"xid,omitempty"`
+		Attempt   int    `json:"hop"`
 	}
-	return list, nil
-}
-
-// settings decodes the start settings of an instance.
-func (l *line) settings() (policy.Settings, error) {
-	s, err := config.Decode(l.Setup)
-	if err != nil {
-		return policy.Settings{}, err
+	rejectReply struct {
+		replyHeader
+		RequestID  string        `json:"xid,omitempty"`
+		RetryAfter time.Duration `json:"holdOff,omitempty"`
 	}
-	return s.Policy(l.Entropy), nil
-}
+	failReply struct {
+		replyHeader
+		RequestID string `json:"xid,omitempty"`
+	}
+	addToCounterReply struct {
+		replyHeader
+		CounterKey uint64        `json:"entryName"`
+		Units      float64       `json:"qty"`
+		TTL        time.Duration `json:"lives,omitempty"`
+	}
+	startTimerReply struct {
+		replyHeader
+		After   time.Duration `json:"span"`
+		TimerID uint64        `json:"cookie"`
+	}
+	checkHealthReply struct {
+		replyHeader
+		EndpointID string `json:"server,omitempty"`
+	}
+	watchEndpointsReply struct {
+		replyHeader
+		Enable bool `json:"enable"`
+	}
+)
