--- a/internal/testclock/clock.go
+++ b/internal/testclock/clock.go
@@ -1,5 +1,5 @@
-// Package testclock runs what is due in simulated time, for tests that play a whole fleet
-// without sockets: no goroutines, and the same order every time.
+// Package testclock runs scheduled functions in simulated time, for tests that simulate a whole
+// fleet without sockets: there are no goroutines, and the order is the same in every run.
 package testclock
 
 import (
@@ -7,56 +7,61 @@
 	"time"
 )
 
-// Clock is simulated time and what is due in it. Its zero value stands at 0, with nothing
-// due. It is not safe for concurrent use.
+// Clock is simulated time with the functions scheduled in it. Its zero value stands at 0 with
+// nothing scheduled. It is not safe for concurrent use.
 type Clock struct {
-	Now time.Duration // since the beginning; only Run moves it
+	Now time.Duration // since the beginning; only Run advances it
 
-	due   queue
-	count int
+	pending   timerQueue
+	scheduled int // calls of After so far
 }
 
-// After runs do when d has passed. What is due at once runs in the order of the calls.
-func (c *Clock) After(d time.Duration, do func()) {
-	c.count++
-	heap.Push(&c.due, event{c.Now + d, c.count, do})
+// After schedules a function to run when d has passed. Functions due at the same time run in the
+// order of the calls.
+func (c *Clock) After(d time.Duration, run func()) {
+	c.scheduled++
+	heap.Push(&c.pending, timer{at: c.Now + d, sequence: c.scheduled, run: run})
 }
 
-// Run lets d pass and runs what comes due in it, what that adds included.
+// Run advances the clock by d and runs the functions that come due, those included that they
+// schedule themselves.
 func (c *Clock) Run(d time.Duration) {
 	end := c.Now + d
-	for len(c.due) > 0 && c.due[0].at <= end {
-		e := heap.Pop(&c.due).(event)
-		c.Now = e.at
-		e.do()
+	for len(c.pending) > 0 && c.pending[0].at <= end {
+		next := heap.Pop(&c.pending).(timer)
+		c.Now = next.at
+		next.run()
 	}
 	c.Now = end
 }
 
-// event is something due.
-type event struct {
-	at  time.Duration
-	nth int // of the calls of After
-	do  func()
+// timer is one scheduled function.
+type timer struct {
+	at       time.Duration
+	sequence int // breaks ties
+	run      func()
 }
 
-// queue implements [heap.Interface], the earliest event first.
-type queue []event
+// timerQueue implements [heap.Interface], the earliest timer first.
+type timerQueue []timer
 
-func (q queue) Len() int { return len(q) }
+func (q timerQueue) Len() int { return len(q) }
 
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].nth < q[j].nth
+func (q timerQueue) Less(i, j int) bool {
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
+	}
+	return q[i].sequence < q[j].sequence
 }
 
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q timerQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (q *queue) Push(x any) { *q = append(*q, x.(event)) }
+func (q *timerQueue) Push(x any) { *q = append(*q, x.(timer)) }
 
-func (q *queue) Pop() any {
+func (q *timerQueue) Pop() any {
 	last := len(*q) - 1
-	e := (*q)[last]
-	(*q)[last] = event{} // what it holds may go
+	removed := (*q)[last]
+	(*q)[last] = timer{} // so that what its function refers to can be collected
 	*q = (*q)[:last]
-	return e
+	return removed
 }
--- a/internal/testclock/clock_test.go
+++ b/internal/testclock/clock_test.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Guards the order of what is due, on which every figure of the fleets played rests.
+// Guards the order in which functions run, on which every figure of a simulated fleet rests.
 func TestClock(t *testing.T) {
-	var c Clock
+	var clock Clock
 	var got []string
-	say := func(what string) func() {
-		return func() { got = append(got, fmt.Sprint(what, c.Now)) }
+	record := func(name string) func() {
+		return func() { got = append(got, fmt.Sprint(name, clock.Now)) }
 	}
-	c.After(2*time.Second, say("late "))
-	c.After(time.Second, func() {
-		say("first ")()
-		c.After(0, say("added "))
-		c.After(2*time.Second, say("next run "))
+	clock.After(2*time.Second, record("late "))
+	clock.After(time.Second, func() {
+		record("first ")()
+		clock.After(0, record("added "))
+		clock.After(2*time.Second, record("next run "))
 	})
-	c.After(time.Second, say("second "))
-	c.Run(2 * time.Second)
-	if want := "[first 1s second 1s added 1s late 2s]"; fmt.Sprint(got) != want || c.Now != 2*time.Second {
-		t.Errorf("%v at %v, want %s", got, c.Now, want)
+	clock.After(time.Second, record("second "))
+	clock.Run(2 * time.Second)
+	if want := "[first 1s second 1s added 1s late 2s]"; fmt.Sprint(got) != want || clock.Now != 2*time.Second {
+		t.Errorf("%v at %v, want %s", got, clock.Now, want)
 	}
 	got = nil
-	c.Run(5 * time.Second)
-	if want := "[next run 3s]"; fmt.Sprint(got) != want || c.Now != 7*time.Second {
-		t.Errorf("%v at %v, want %s", got, c.Now, want)
+	clock.Run(5 * time.Second)
+	if want := "[next run 3s]"; fmt.Sprint(got) != want || clock.Now != 7*time.Second {
+		t.Errorf("%v at %v, want %s", got, clock.Now, want)
 	}
 }
