--- a/internal/knownfailures/judge_test.go
+++ b/internal/knownfailures/judge_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// run gives the events of one package in which each of some tests ends in some way.
-func run(pkg, packageEnds string, ends ...string) string {
+// packageEvents gives the events of one package in which each of some tests ends in some way.
+func packageEvents(pkg, packageEnds string, ends ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"Action":"start","Package":%q}`+"\n", pkg)
 	for _, e := range ends {
@@ -23,57 +23,61 @@
 	return b.String()
 }
 
-func output(pkg, text string) string {
+func outputEvent(pkg, text string) string {
 	return fmt.Sprintf(`{"Action":"output","Package":%q,"Test":"TestA","Output":%q}`+"\n", pkg, text)
 }
 
 // Guards the check of every submission: listed tests may fail, and nothing else passes.
 func TestJudge(t *testing.T) {
-	const one = "TestA: a cause: issue 8\n"
-	red := run("p", "fail", "TestA fail", "TestB pass")
-	for _, c := range []struct{ name, list, events, why, says string }{
-		{"all pass", "", run("p", "pass", "TestA pass"), "", ""},
-		{"a listed one fails", one, red, "", "known red: TestA failed: a cause: issue 8\n"},
-		{"and passes elsewhere", one, red + run("q", "pass", "TestA pass"), "", "TestA failed"},
-		{"a listed one passes", one, run("p", "pass", "TestA pass"), "", "TestA passed: take it off"},
-		{"a listed one's part fails", one, run("p", "fail", "TestA fail", "TestA/part fail", "TestB pass"), "", "TestA failed"},
-		{"no list", "", red, "p TestA: fail", ""},
-		{"another one fails", one, run("p", "fail", "TestA fail", "TestB fail"), "p TestB: fail", "TestA failed"},
-		{"in another package", one, red + run("q", "fail", "TestC fail"), "q TestC: fail", ""},
-		{"a listed one does not exist", one, run("p", "pass", "TestB pass"), "TestA is listed and does not exist", ""},
-		{"a listed one is skipped", one, run("p", "pass", "TestA skip", "TestB pass"), "was skipped", ""},
-		{"a listed one never ends", one, run("p", "fail", "TestA", "TestB pass"), "TestA: not finished", ""},
-		{"a package fails by itself", one, red + run("q", "fail", "TestC pass"), "q: fail", ""},
-		{"a package never ends", one, red + run("q", "", "TestC pass"), "q: not finished", ""},
-		{"a failed one's text", one, output("p", "of a failure\n") + red, "", "of a failure"},
-		{"the text of one that never ends", one, output("p", "of a hang\n") + run("p", "fail", "TestA"), "not finished", "of a hang"},
-		{"a panic", one, output("p", "panic: oh\n") + red, "panic: oh", "panic: oh"},
-		{"a time-out", one, output("p", "panic: test timed out after 10m0s\n") + red, "timed out", ""},
-		{"a data race", one, output("p", "WARNING: DATA RACE\n") + red, "DATA RACE", ""},
-		{"a fatal error", one, output("p", "fatal error: all goroutines are asleep - deadlock!\n") + red, "asleep", ""},
-		{"a build error", one, `{"ImportPath":"p","Action":"build-fail"}` + "\n" + red, "a build failed", ""},
-		{"a word of the tool", one, "go: no such thing\n" + red, "no such thing", ""},
+	const list = "TestA: a cause: issue 8\n"
+	listedFailed := packageEvents("p", "fail", "TestA fail", "TestB pass")
+	for _, c := range []struct {
+		name, list, events string
+		fault              string // part of the error; empty: the run passes
+		shown              string // part of what is written
+	}{
+		{"all pass", "", packageEvents("p", "pass", "TestA pass"), "", ""},
+		{"a listed test fails", list, listedFailed, "", "known red: TestA failed: a cause: issue 8\n"},
+		{"a listed test passes in another package", list, listedFailed + packageEvents("q", "pass", "TestA pass"), "", "TestA failed"},
+		{"a listed test passes", list, packageEvents("p", "pass", "TestA pass"), "", "TestA passed: take it off"},
+		{"a subtest of a listed test fails", list, packageEvents("p", "fail", "TestA fail", "TestA/part fail", "TestB pass"), "", "TestA failed"},
+		{"no list", "", listedFailed, "p TestA: fail", ""},
+		{"an unlisted test fails", list, packageEvents("p", "fail", "TestA fail", "TestB fail"), "p TestB: fail", "TestA failed"},
+		{"an unlisted test of another package fails", list, listedFailed + packageEvents("q", "fail", "TestC fail"), "q TestC: fail", ""},
+		{"a listed test does not exist", list, packageEvents("p", "pass", "TestB pass"), "TestA is listed and does not exist", ""},
+		{"a listed test is skipped", list, packageEvents("p", "pass", "TestA skip", "TestB pass"), "was skipped", ""},
+		{"a listed test never finishes", list, packageEvents("p", "fail", "TestA", "TestB pass"), "TestA: not finished", ""},
+		{"a package fails without a failed test", list, listedFailed + packageEvents("q", "fail", "TestC pass"), "q: fail", ""},
+		{"a package never finishes", list, listedFailed + packageEvents("q", "", "TestC pass"), "q: not finished", ""},
+		{"the output of a failed test", list, outputEvent("p", "of a failure\n") + listedFailed, "", "of a failure"},
+		{"the output of an unfinished test", list, outputEvent("p", "of a hang\n") + packageEvents("p", "fail", "TestA"), "not finished", "of a hang"},
+		{"a panic", list, outputEvent("p", "panic: oh\n") + listedFailed, "panic: oh", "panic: oh"},
+		{"a timeout", list, outputEvent("p", "panic: test timed out after 10m0s\n") + listedFailed, "timed out", ""},
+		{"a data race", list, outputEvent("p", "WARNING: DATA RACE\n") + listedFailed, "DATA RACE", ""},
+		{"a fatal error", list, outputEvent("p", "fatal error: all goroutines are asleep - deadlock!\n") + listedFailed, "asleep", ""},
+		{"a build error", list, `{"ImportPath":"p","Action":"build-fail"}` + "\n" + listedFailed, "a build failed", ""},
+		{"a message of the go command", list, "go: no such thing\n" + listedFailed, "no such thing", ""},
 		{"nothing has run", "", "", "no test has run", ""},
 	} {
-		list, err := parseList(c.list)
+		known, err := parseList(c.list)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var out strings.Builder
-		err = judge(list, strings.NewReader(c.events), &out)
-		if (err == nil) != (c.why == "") || err != nil && !strings.Contains(err.Error(), c.why) {
-			t.Errorf("%s: %v, want %q", c.name, err, c.why)
+		err = judge(known, strings.NewReader(c.events), &out)
+		if (err == nil) != (c.fault == "") || err != nil && !strings.Contains(err.Error(), c.fault) {
+			t.Errorf("%s: %v, want %q", c.name, err, c.fault)
 		}
-		if !strings.Contains(out.String(), c.says) {
-			t.Errorf("%s: says %q, want %q", c.name, out.String(), c.says)
+		if !strings.Contains(out.String(), c.shown) {
+			t.Errorf("%s: shows %q, want %q", c.name, out.String(), c.shown)
 		}
 	}
 }
 
-// Guards the reading: what passed tests said is not shown, what packages say is.
+// Guards what is shown: not the output of passed tests, but that of packages.
 func TestJudgeShowsLittle(t *testing.T) {
 	var out strings.Builder
-	events := output("p", "of a pass\n") + run("p", "pass", "TestA pass") +
+	events := outputEvent("p", "of a pass\n") + packageEvents("p", "pass", "TestA pass") +
 		`{"Action":"output","Package":"p","Output":"ok  \tp\t0.1s\n"}` + "\n"
 	if err := judge(nil, strings.NewReader(events), &out); err != nil || out.String() != "ok  \tp\t0.1s\n" {
 		t.Errorf("%v, says %q", err, out.String())
--- /dev/null
+++ b/internal/knownfailures/list.go
@@ -0,0 +1,62 @@
+package main
+
+import (
+	"fmt"
+	"regexp"
+	"slices"
+	"strings"
+)
+
+// maxKnownFailures is how many tests may be listed: with more the run would say little.
+const maxKnownFailures = 3
+
+// knownFailure is one line of the list.
+type knownFailure struct {
+	test  string
+	cause string
+	issue string
+}
+
+// listLine is the form "TestName: cause: issue". Cause and issue are neither blank nor have a
+// colon.
+var listLine = regexp.MustCompile(`^(Test[A-Za-z0-9_]*): ([^:]*[^: ][^:]*): ([^:]*[^: ][^:]*)$`)
+
+// parseList reads the list of tests that may fail. Without any text, or with empty lines only,
+// the list is empty.
+func parseList(text string) ([]knownFailure, error) {
+	if strings.Trim(text, "\n") == "" {
+		return nil, nil
+	}
+	var list []knownFailure
+	for i, line := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
+		known, err := parseLine(line)
+		if err != nil {
+			return nil, fmt.Errorf("line %d: %w", i+1, err)
+		}
+		if isListed(list, known.test) {
+			return nil, fmt.Errorf("line %d: %s is listed twice", i+1, known.test)
+		}
+		list = append(list, known)
+	}
+	if len(list) > maxKnownFailures {
+		return nil, fmt.Errorf("%d lines, %d at most", len(list), maxKnownFailures)
+	}
+	return list, nil
+}
+
+func parseLine(line string) (knownFailure, error) {
+	match := listLine.FindStringSubmatch(line)
+	if match == nil {
+		return knownFailure{}, fmt.Errorf("want \"TestName: cause: issue\", got %q", line)
+	}
+	return knownFailure{
+		test:  match[1],
+		cause: strings.TrimSpace(match[2]),
+		issue: strings.TrimSpace(match[3]),
+	}, nil
+}
+
+// isListed reports whether a test, of whatever package, may fail.
+func isListed(list []knownFailure, test string) bool {
+	return slices.ContainsFunc(list, func(known knownFailure) bool { return known.test == test })
+}
--- a/internal/knownfailures/main.go
+++ b/internal/knownfailures/main.go
@@ -1,9 +1,9 @@
-// Command knownfailures reads what `go test -json` prints on its standard input, shows what packages
-// and failed tests say, and judges the run by the file KNOWN-RED.txt of the current folder: tests listed
-// there may fail, and only these.
+// Command knownfailures reads the output of `go test -json` on its standard input, shows the
+// output of packages and of failed tests, and judges the run by the file KNOWN-RED.txt of the
+// current directory: tests listed there may fail, and only these.
 //
 // Each line of the file is "TestName: cause: issue"; there are three at most. No file, or an
-// empty one, means none. It ends with 0 if nothing but listed tests failed, else with 1.
+// empty one, means none. The exit status is 0 if nothing but listed tests failed, else 1.
 package main
 
 import (
@@ -13,21 +13,25 @@
 	"os"
 )
 
-const listName = "KNOWN-RED.txt"
+// listFile is the file that lists the tests that may fail.
+const listFile = "KNOWN-RED.txt"
 
 func main() {
-	text, err := os.ReadFile(listName)
-	if err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := judgeStandardInput(); err != nil {
 		fmt.Fprintln(os.Stderr, "knownfailures:", err)
 		os.Exit(1)
 	}
+}
+
+// judgeStandardInput judges the events on standard input by the list of the current directory.
+func judgeStandardInput() error {
+	text, err := os.ReadFile(listFile)
+	if err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return err
+	}
 	list, err := parseList(string(text))
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "knownfailures: %s: %v\n", listName, err)
-		os.Exit(1)
-	}
-	if err := judge(list, os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "knownfailures:", err)
-		os.Exit(1)
+		return fmt.Errorf("%s: %w", listFile, err)
 	}
+	return judge(list, os.Stdin, os.Stdout)
 }
--- /dev/null
+++ b/internal/knownfailures/testrun.go
@@ -0,0 +1,152 @@
+package main
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+)
+
+// maxEventBytes is the longest line of the events; a longer one fails the run.
+const maxEventBytes = 1 << 20
+
+// event is one line of `go test -json`.
+type event struct {
+	Action  string
+	Package string
+	Test    string // empty if the event is the package's; with a slash for a subtest
+	Output  string
+}
+
+// Actions of an event that have no status of the same name.
+const (
+	actionStart       = "start" // of a package
+	actionRun         = "run"   // of a test
+	actionBuildFailed = "build-fail"
+)
+
+// testStatus is how far a test or a package has come. Those of an end are named like the action
+// that reports it.
+type testStatus string
+
+const (
+	running testStatus = "not finished"
+	passed  testStatus = "pass"
+	failed  testStatus = "fail"
+	skipped testStatus = "skip"
+)
+
+// crashPrefixes begin the lines of output that report more than a failed check, which no list
+// excuses.
+var crashPrefixes = []string{
+	"panic: ", "fatal error: ", "WARNING: DATA RACE", "ThreadSanitizer: ", "SIGSEGV: ", "SIGABRT: ",
+}
+
+// testID names one top-level test of one package.
+type testID struct {
+	packagePath string
+	test        string
+}
+
+// testRun is what the events tell of one run of the tests.
+type testRun struct {
+	out      io.Writer             // takes the output of packages and of failed tests
+	tests    map[testID]testStatus // subtests left out
+	packages map[string]testStatus // by path
+	output   map[testID]string     // of unfinished tests, that of their subtests included
+	faults   []error               // which no list excuses
+}
+
+func newTestRun(out io.Writer) *testRun {
+	return &testRun{
+		out:      out,
+		tests:    map[testID]testStatus{},
+		packages: map[string]testStatus{},
+		output:   map[testID]string{},
+	}
+}
+
+// read records all events until their end.
+func (r *testRun) read(events io.Reader) {
+	lines := bufio.NewScanner(events)
+	lines.Buffer(nil, maxEventBytes)
+	for lines.Scan() {
+		var e event
+		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
+			fmt.Fprintf(r.out, "%s\n", lines.Bytes())
+			r.addFault(fmt.Errorf("not an event of a test: %q", lines.Text()))
+			continue
+		}
+		r.record(e)
+	}
+	if err := lines.Err(); err != nil {
+		r.addFault(fmt.Errorf("reading the events: %w", err))
+	}
+	for _, text := range r.output {
+		io.WriteString(r.out, text)
+	}
+	if len(r.tests) == 0 {
+		r.addFault(errors.New("no test has run"))
+	}
+}
+
+func (r *testRun) addFault(err error) { r.faults = append(r.faults, err) }
+
+// record records one event.
+func (r *testRun) record(e event) {
+	test, _, isSubtest := strings.Cut(e.Test, "/")
+	id := testID{packagePath: e.Package, test: test}
+	r.recordOutput(id, e)
+	if e.Action == actionBuildFailed {
+		r.addFault(errors.New("a build failed"))
+		return
+	}
+	status, ok := statusOf(e.Action)
+	switch {
+	case isSubtest || !ok:
+		return
+	case test == "":
+		r.packages[e.Package] = status
+	default:
+		r.recordTest(id, status)
+	}
+}
+
+// recordOutput shows the output of a package at once, and keeps that of a test until its end.
+func (r *testRun) recordOutput(id testID, e event) {
+	if id.test == "" {
+		io.WriteString(r.out, e.Output)
+	} else {
+		r.output[id] += e.Output
+	}
+	for _, prefix := range crashPrefixes {
+		if strings.HasPrefix(e.Output, prefix) {
+			r.addFault(fmt.Errorf("%s %s: %s", e.Package, e.Test, strings.TrimSpace(e.Output)))
+		}
+	}
+}
+
+// recordTest records the status of a test, and shows its output if it failed.
+func (r *testRun) recordTest(id testID, status testStatus) {
+	r.tests[id] = status
+	if status == failed {
+		io.WriteString(r.out, r.output[id])
+	}
+	if status != running {
+		delete(r.output, id)
+	}
+}
+
+// statusOf returns the status that an action leads to, if it leads to any.
+func statusOf(action string) (testStatus, bool) {
+	switch action {
+	case actionStart, actionRun:
+		return running, true
+	case string(passed), string(failed), string(skipped):
+		return testStatus(action), true
+	default:
+		return "", false
+	}
+}
