--- a/cmd/edgenode/main_test.go
+++ b/cmd/edgenode/main_test.go
@@ -10,27 +10,55 @@
 	"strings"
 	"syscall"
 	"testing"
+
+	"swiftpitch/internal/config"
+)
+
+// Environment variables that make the test binary run the program itself, see TestMain.
+const (
+	runMainVariable   = "EDGENODE_TEST_MAIN"
+	fileLimitVariable = "EDGENODE_TEST_FILES" // file descriptors that the process may hold
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"counter":"127.0.0.1:9",
  "known":{"generation":41,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:9","zone":"a","lifecycle":"SERVING"}]},
  "settings":{"limits":{"maxAttempts":2},"tiersOfService":[{"name":"p"}],"nInstances":2,
   "familyInfo":{"counter":true},"classes":[{"name":"c","effect":"once","aim":1000000}]}}`
 
-// Guards the reading of the configuration, and that what is wrong with it is told
-// in one line.
-func TestLoad(t *testing.T) {
-	t.Setenv("RELAY_LISTEN", "")
-	t.Setenv("RELAY_DISCOVERY", "")
-	write := func(text string) string {
-		path := filepath.Join(t.TempDir(), "config.json")
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
+// TestMain runs the tests, or the program itself in a process that a test has started for that.
+func TestMain(m *testing.M) {
+	if os.Getenv(runMainVariable) == "" {
+		os.Exit(m.Run())
+	}
+	if files, err := strconv.ParseUint(os.Getenv(fileLimitVariable), 10, 64); err == nil {
+		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: files, Max: files}); err != nil {
+			panic(err)
 		}
-		return path
 	}
-	cfg, limits, err := load(write(good))
+	main()
+}
+
+// writeConfig writes a configuration file and returns its path.
+func writeConfig(t *testing.T, text string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "config.json")
+	rewriteConfig(t, path, text)
+	return path
+}
+
+func rewriteConfig(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// Guards the reading of the configuration, and that each fault in it is an error of one line.
+func TestLoad(t *testing.T) {
+	t.Setenv(config.ListenVariable, "")
+	t.Setenv(config.DiscoveryVariable, "")
+	cfg, limits, err := load(writeConfig(t, validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,18 +67,19 @@
 		t.Errorf("%+v, %+v", cfg, limits)
 	}
 	for name, text := range map[string]string{
-		"form":      good[:20],
-		"seed":      strings.Replace(good, "8c1f", "seed", 1),
-		"listen":    strings.Replace(good, `"listen"`, `"other"`, 1),
-		"discovery": strings.Replace(good, `"discovery"`, `"other"`, 1),
-		"counter":   strings.Replace(good, `"counter":"`, `"other":"`, 1),
-		"settings":  strings.Replace(good, `"settings"`, `"other"`, 1),
-		"effect":    strings.Replace(good, `"once"`, `"twice"`, 1),
-		"gateways":  strings.Replace(good, `"nInstances":2`, `"nInstances":0`, 1),
-		"no port":   strings.Replace(good, `"discovery":"127.0.0.1:9"`, `"discovery":"127.0.0.1"`, 1),
-		"ports":     strings.Replace(good, `"counter":"127.0.0.1:9"`, `"counter":"127.0.0.1:9:9"`, 1),
+		"form":      validConfig[:20],
+		"seed":      strings.Replace(validConfig, "8c1f", "seed", 1),
+		"listen":    strings.Replace(validConfig, `"listen"`, `"other"`, 1),
+		"discovery": strings.Replace(validConfig, `"discovery"`, `"other"`, 1),
+		"counter":   strings.Replace(validConfig, `"counter":"`, `"other":"`, 1),
+		"settings":  strings.Replace(validConfig, `"settings"`, `"other"`, 1),
+		"known":     strings.Replace(validConfig, `"generation":41`, `"generation":"41"`, 1),
+		"effect":    strings.Replace(validConfig, `"once"`, `"twice"`, 1),
+		"gateways":  strings.Replace(validConfig, `"nInstances":2`, `"nInstances":0`, 1),
+		"no port":   strings.Replace(validConfig, `"discovery":"127.0.0.1:9"`, `"discovery":"127.0.0.1"`, 1),
+		"ports":     strings.Replace(validConfig, `"counter":"127.0.0.1:9"`, `"counter":"127.0.0.1:9:9"`, 1),
 	} {
-		if _, _, err := load(write(text)); err == nil || strings.Contains(err.Error(), "\n") {
+		if _, _, err := load(writeConfig(t, text)); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -61,63 +90,54 @@
 	}
 }
 
-type moves chan string
+// addressRecorder is an addressUpdater that records the addresses of each update.
+type addressRecorder chan string
 
-func (m moves) Move(discovery, counter string) { m <- discovery + " " + counter }
+// Move implements addressUpdater.
+func (a addressRecorder) Move(discovery, counter string) { a <- discovery + " " + counter }
 
-// Guards the signal for a new configuration: a file that can't be used changes
-// nothing, and the next good one counts.
+// Guards the signal for a new configuration: a file that can't be used changes nothing, and the
+// next valid one takes effect.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	hangup, m := make(chan os.Signal), make(moves, 8)
+	hangup := make(chan os.Signal)
+	updates := make(addressRecorder, 8)
 	done := make(chan struct{})
-	go func() { reload(hangup, path, m, slog.New(slog.DiscardHandler)); close(done) }()
-	unusable := strings.Replace(strings.Replace(good, `"aim":1000000`, `"aim":0`, 1), "127.0.0.1:9", "127.0.0.1:7", 2)
-	for _, text := range []string{good, good[:30], unusable, strings.Replace(good, `"discovery":"127.0.0.1:9"`, `"discovery":"127.0.0.1:8"`, 1)} {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
+	go func() {
+		defer close(done)
+		reload(hangup, path, updates, slog.New(slog.DiscardHandler))
+	}()
+	otherAddresses := strings.Replace(validConfig, "127.0.0.1:9", "127.0.0.1:7", 2)
+	invalid := strings.Replace(otherAddresses, `"aim":1000000`, `"aim":0`, 1)
+	newDiscovery := strings.Replace(validConfig, `"discovery":"127.0.0.1:9"`, `"discovery":"127.0.0.1:8"`, 1)
+	for _, text := range []string{validConfig, validConfig[:30], invalid, newDiscovery} {
+		rewriteConfig(t, path, text)
 		hangup <- syscall.SIGHUP
-		hangup <- syscall.SIGHUP // the first one has been seen to
-		if text == good {
-			<-m
-			<-m
+		hangup <- syscall.SIGHUP // accepted only after the first one has been handled
+		if text == validConfig {
+			<-updates
+			<-updates
 		}
 	}
 	close(hangup)
 	<-done
-	if len(m) < 2 {
-		t.Errorf("%d moves to the new addresses", len(m))
+	if len(updates) < 2 {
+		t.Errorf("%d updates to the new addresses", len(updates))
 	}
-	for close(m); len(m) > 0; {
-		if got := <-m; got != "127.0.0.1:8 127.0.0.1:9" {
+	close(updates)
+	for got := range updates {
+		if got != "127.0.0.1:8 127.0.0.1:9" {
 			t.Errorf("moved to %q", got)
 		}
 	}
 }
 
-func TestMain(m *testing.M) {
-	if os.Getenv("FAWNRELAY_TEST_MAIN") != "" {
-		if files, err := strconv.ParseUint(os.Getenv("FAWNRELAY_TEST_FILES"), 10, 64); err == nil {
-			if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: files, Max: files}); err != nil {
-				panic(err)
-			}
-		}
-		main()
-		return
-	}
-	os.Exit(m.Run())
-}
-
-// Guards the running program: SIGHUP, twice and also while it drains, does not end
+// Guards the running program: SIGHUP, twice and also during the graceful shutdown, does not end
 // it, and SIGTERM does with exit code 0.
 func TestSignals(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	path := writeConfig(t, validConfig)
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
-	cmd.Env = append(os.Environ(), "FAWNRELAY_TEST_MAIN=1", "RELAY_CONFIG="+path)
+	cmd.Env = append(os.Environ(), runMainVariable+"=1", config.PathVariable+"="+path)
 	log, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -125,16 +145,19 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	signals := map[string]syscall.Signal{
-		"msg=serving": syscall.SIGHUP, `msg="took`: syscall.SIGTERM, "msg=draining": syscall.SIGHUP,
+	signalAfter := map[string]syscall.Signal{ // by part of a log line
+		"msg=serving":  syscall.SIGHUP,
+		`msg="took`:    syscall.SIGTERM,
+		"msg=draining": syscall.SIGHUP,
 	}
 	var lines []string
-	for in := bufio.NewScanner(log); in.Scan(); {
-		lines = append(lines, in.Text())
-		for mark, send := range signals {
-			if strings.Contains(in.Text(), mark) {
-				delete(signals, mark)
-				cmd.Process.Signal(send)
+	for input := bufio.NewScanner(log); input.Scan(); {
+		line := input.Text()
+		lines = append(lines, line)
+		for part, signal := range signalAfter {
+			if strings.Contains(line, part) {
+				delete(signalAfter, part)
+				cmd.Process.Signal(signal)
 			}
 		}
 	}
