--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -1,36 +1,73 @@
 package main
 
 import (
+	"errors"
+	"io"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 )
 
-// TestTranscripts plays the batches in testdata/*.in and compares replies or the complaint with *.out.
+// TestTranscripts plays the batches in testdata/*.in and compares the replies, followed by the
+// error if there is one, with *.out.
 func TestTranscripts(t *testing.T) {
-	files, err := filepath.Glob("testdata/*.in")
-	if err != nil || len(files) == 0 {
+	inputs, err := filepath.Glob("testdata/*.in")
+	if err != nil || len(inputs) == 0 {
 		t.Fatal("no transcripts", err)
 	}
-	for _, f := range files {
-		in, err := os.Open(f)
+	for _, input := range inputs {
+		want, err := os.ReadFile(strings.TrimSuffix(input, ".in") + ".out")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer in.Close()
-		var out strings.Builder
-		got := ""
-		if err := run(in, &out); err != nil {
-			got = "error: " + err.Error() + "\n"
+		if got := playTranscript(t, input); got != string(want) {
+			t.Errorf("%s:\n got %s\nwant %s", input, got, want)
 		}
-		got = out.String() + got
-		want, err := os.ReadFile(strings.TrimSuffix(f, ".in") + ".out")
-		if err != nil {
-			t.Fatal(err)
-		}
-		if got != string(want) {
-			t.Errorf("%s:\n got %s\nwant %s", f, got, want)
+	}
+}
+
+// playTranscript returns the replies to the batches in a file, and the error if there is one.
+func playTranscript(t *testing.T, path string) string {
+	t.Helper()
+	in, err := os.Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer in.Close()
+	var out strings.Builder
+	if err := run(in, &out); err != nil {
+		out.WriteString("error: " + err.Error() + "\n")
+	}
+	return out.String()
+}
+
+// Guards that an error can be traced to the line, the message and the cause.
+func TestErrorsNameLineAndMessage(t *testing.T) {
+	const begin = `{"msg":"Round","simTime":1000}` + "\n"
+
+	err := run(strings.NewReader(begin+`{"msg":"Reminder","nodeId":9}`), io.Discard)
+	var inLine *lineError
+	if !errors.As(err, &inLine) || inLine.Line != 2 {
+		t.Errorf("%v, want an error of line 2", err)
+	}
+	var inMessage *messageError
+	if !errors.As(err, &inMessage) || inMessage.Name != "Reminder" {
+		t.Errorf("%v, want an error of Reminder", err)
+	}
+	var notStarted *notStartedError
+	if !errors.As(err, &notStarted) || notStarted.InstanceID != 9 {
+		t.Errorf("%v, want an error of instance 9", err)
+	}
+
+	for input, want := range map[string]error{
+		begin:                               errInputEndsInBatch,
+		begin + begin:                       errOutOfPlace,
+		`{"msg":"Go"}`:                      errOutOfPlace,
+		begin + `{"msg":"Reminder"}` + "\n": errNoInstanceID,
+	} {
+		if err := run(strings.NewReader(input), io.Discard); !errors.Is(err, want) {
+			t.Errorf("%q: %v, want %v", input, err, want)
 		}
 	}
 }
