--- a/internal/doccheck/doccheck_test.go
+++ b/internal/doccheck/doccheck_test.go
@@ -8,7 +8,8 @@
 	"go/parser"
 	"go/token"
 	"io/fs"
-	"path/filepath"
+	"os"
+	"path"
 	"slices"
 	"strings"
 	"testing"
@@ -103,26 +104,31 @@
 // parseRepository returns the repository's Go files by directory, without the test files.
 func parseRepository(t *testing.T) map[string][]sourceFile {
 	t.Helper()
+	root := os.DirFS(repositoryRoot)
 	set := token.NewFileSet()
 	packages := map[string][]sourceFile{}
-	err := filepath.WalkDir(repositoryRoot, func(path string, entry fs.DirEntry, err error) error {
+	err := fs.WalkDir(root, ".", func(name string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
 		if entry.IsDir() {
-			if path != repositoryRoot && isIgnoredDirectory(entry.Name()) {
+			if name != "." && isIgnoredDirectory(entry.Name()) {
 				return fs.SkipDir
 			}
 			return nil
 		}
-		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+		if !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
 			return nil
 		}
-		syntax, err := parser.ParseFile(set, path, nil, parser.ParseComments)
+		text, err := fs.ReadFile(root, name)
 		if err != nil {
 			return err
 		}
-		directory := filepath.Dir(path)
+		syntax, err := parser.ParseFile(set, name, text, parser.ParseComments)
+		if err != nil {
+			return err
+		}
+		directory := path.Dir(name)
 		packages[directory] = append(packages[directory], sourceFile{set: set, syntax: syntax})
 		return nil
 	})
