--- a/cmd/edgenode/filelimit_test.go
+++ b/cmd/edgenode/filelimit_test.go
@@ -62,20 +62,9 @@
 		t.Errorf("the request received before is answered %s", body)
 	}
 
-	discoveryCalls, counterCalls := make(chan string, 1), make(chan string, 1)
-	counter.serve(func(w http.ResponseWriter, req *http.Request) {
-		notifyFirst(counterCalls, req.RequestURI)
-		io.WriteString(w, "1")
-	})
+	counterCalls := serveCounter(counter)
 	newServer.serve(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "new") })
-	discovery.serve(func(w http.ResponseWriter, req *http.Request) {
-		notifyFirst(discoveryCalls, req.RequestURI)
-		if strings.Contains(req.URL.RawQuery, "index=42") {
-			<-req.Context().Done() // nothing newer
-			return
-		}
-		fmt.Fprintf(w, `{"generation":42,"reset":true,"instances":[%s]}`, instanceJSON("new", newServer))
-	})
+	discoveryCalls := serveDiscovery(discovery, newServer)
 	requests := 0
 	waitUntil(t, "an answer by the app server that discovery lists now", func() bool {
 		requests++
@@ -88,6 +77,31 @@
 	node.shutDown(t)
 }
 
+// serveCounter begins to serve as the counter and returns a channel that takes the first call.
+func serveCounter(counter *reservedAddress) (calls <-chan string) {
+	first := make(chan string, 1)
+	counter.serve(func(w http.ResponseWriter, req *http.Request) {
+		notifyFirst(first, req.RequestURI)
+		io.WriteString(w, "1")
+	})
+	return first
+}
+
+// serveDiscovery begins to serve as discovery, which lists one app server and then nothing newer.
+// It returns a channel that takes the first call.
+func serveDiscovery(discovery, listed *reservedAddress) (calls <-chan string) {
+	first := make(chan string, 1)
+	discovery.serve(func(w http.ResponseWriter, req *http.Request) {
+		notifyFirst(first, req.RequestURI)
+		if strings.Contains(req.URL.RawQuery, "index=42") {
+			<-req.Context().Done()
+			return
+		}
+		fmt.Fprintf(w, `{"generation":42,"reset":true,"instances":[%s]}`, instanceJSON("new", listed))
+	})
+	return first
+}
+
 // fileLimitConfig returns the configuration of a node that knows one app server.
 func fileLimitConfig(discoveryMode string, discovery, counter, knownServer *reservedAddress) string {
 	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
