--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -10,7 +10,7 @@
 	"swiftpitch/internal/policy"
 )
 
-// The environment variables of an edge node. An address in the file goes before its variable.
+// The environment variables of an edge node. An address in the file takes precedence over its variable.
 const (
 	PathVariable      = "RELAY_CONFIG"    // path of the configuration file
 	ListenVariable    = "RELAY_LISTEN"    // address for clients, if the file names none
