--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -30,7 +30,7 @@
 // Response is the result of an exchange.
 type Response struct {
 	Outcome     policy.Outcome
-	Body        []byte   // where Outcome is policy.Succeeded
+	Body        []byte   // where Outcome is [policy.Succeeded]; else nil
 	ContentType []string // of Body, as the header's values; nil: not named
 	LoadReport  policy.LoadReport
 	ActualUnits float64 // quota units that the request really took; 0: not reported
@@ -38,9 +38,9 @@
 }
 
 // Exchange writes one request and reads the whole response. It blocks until the response
-// is complete or the connection breaks or is closed. The outcome is one by which a
-// request never ran (policy.ConnectFailed, policy.Overloaded) only where that is proven;
-// a damaged response proves nothing.
+// is complete or the connection breaks, is closed or passes its deadline. The outcome is
+// one by which a request never ran ([policy.ConnectFailed], [policy.Overloaded]) only
+// where that is proven; a damaged response proves nothing.
 func (c *Conn) Exchange(request net.Buffers) Response {
 	if complete, err := c.write(request); err != nil {
 		if !complete {
