--- a/internal/edge/counter.go
+++ b/internal/edge/counter.go
@@ -16,16 +16,16 @@
 		Context:     n.ctx,
 		Lock:        &n.mu,
 		DialTimeout: n.pool.DialTimeout(),
-		Go:          n.worker.Go,
-		AfterFunc:   n.after,
-		OnReply:     func(reply policy.CounterReplied) { n.post(reply) },
+		Go:          n.workers.Go,
+		AfterFunc:   n.afterFunc,
+		OnReply:     func(reply policy.CounterReplied) { n.dispatch(reply) },
 	})
 }
 
 // addToCounter begins a call to the counter. The lock is held.
 func (n *Node) addToCounter(addition policy.AddToCounter) {
 	if n.counter == nil {
-		n.post(policy.CounterReplied{Key: addition.Key, Outcome: policy.ConnectFailed})
+		n.dispatch(policy.CounterReplied{Key: addition.Key, Outcome: policy.ConnectFailed})
 		return
 	}
 	n.counter.Add(addition, counterTimeoutFactor*n.cfg.Settings.Service.CounterTimeout)
--- a/internal/edge/endpoints.go
+++ b/internal/edge/endpoints.go
@@ -47,5 +47,5 @@
 			entries = append(entries, policy.Endpoint{ID: id, State: policy.Removed})
 		}
 	}
-	n.post(policy.EndpointsUpdated{Scope: scope, Endpoints: entries})
+	n.dispatch(policy.EndpointsUpdated{Scope: scope, Endpoints: entries})
 }
--- a/internal/edge/healthcheck.go
+++ b/internal/edge/healthcheck.go
@@ -37,7 +37,7 @@
 		return
 	}
 	check.addr = check.endpoint.Addr()
-	n.worker.Go(func() { n.runHealthCheck(check, conn) })
+	n.workers.Go(func() { n.runHealthCheck(check, conn) })
 }
 
 // runHealthCheck carries a health check through on conn, or on a new connection if conn
@@ -99,7 +99,7 @@
 
 // endHealthCheck notifies the policy of a health check's result. The lock is held.
 func (n *Node) endHealthCheck(check *healthCheck, response upstream.Response) {
-	n.post(policy.HealthCheckDone{
+	n.dispatch(policy.HealthCheckDone{
 		Endpoint: check.endpointID,
 		Outcome:  response.Outcome,
 		Latency:  time.Since(check.startedAt),
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -20,9 +20,9 @@
 	defaultBodyMemory = 64 << 20
 )
 
-// connectionsMost is how many connections of a kind there may be, by the descriptors that
+// maxConns is how many connections of a kind there may be, by the descriptors that
 // the process may hold and the kind's share of them.
-func connectionsMost(descriptors int, share float64) int {
+func maxConns(descriptors int, share float64) int {
 	return max(min(int(float64(descriptors)*share), (descriptors-reservedDescriptors)/2), 1)
 }
 
@@ -32,7 +32,7 @@
 	if descriptors <= 0 {
 		return defaultClientConns
 	}
-	return connectionsMost(descriptors, clientConnShare)
+	return maxConns(descriptors, clientConnShare)
 }
 
 // bodyMemory is how many bytes bodies in hand may take; memory is 0 where it is not
--- a/internal/edge/upstreamconn.go
+++ b/internal/edge/upstreamconn.go
@@ -16,7 +16,7 @@
 	if descriptors <= 0 {
 		return 0
 	}
-	return connectionsMost(descriptors, upstreamConnShare)
+	return maxConns(descriptors, upstreamConnShare)
 }
 
 // acquireConn returns an idle connection to an endpoint. Where there is none the result
