--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -1,9 +1,3 @@
-// Package node is the edge node round the decision module: it turns what
-// happens on the sockets into the module's events and carries out its actions.
-//
-// Each file has one job: node.go drives the module, clients.go is the listener,
-// servers.go makes the attempts, counter.go calls the counter and discovery.go
-// follows the list of app servers.
 package edge
 
 import (
@@ -23,14 +17,14 @@
 	"swiftpitch/internal/upstream"
 )
 
-// Config is what an edge node is told when it starts.
+// Config is what an edge node is started with.
 type Config struct {
 	Listen    string // address for clients
-	Discovery string // address of discovery
+	Discovery string // address of discovery; empty: the known list stays
 	Counter   string // address of the counter; empty: none
-	Seed      uint64
-	Sockets   int   // descriptors that the process may hold
-	Memory    int64 // bytes that it may take
+	Seed      uint64 // of this incarnation's random numbers
+	Sockets   int    // descriptors that the process may hold; 0: not configured
+	Memory    int64  // bytes that it may take; 0: not configured
 	Known     discovery.List
 	Settings  *config.Settings
 }
@@ -41,63 +35,71 @@
 	cfg       Config
 	log       *slog.Logger
 	startedAt time.Time   // reading of the monotonic clock that epoch belongs to
-	epoch     policy.Time // Unix time at began
+	epoch     policy.Time // Unix time at startedAt
 	ctx       context.Context
 	stop      context.CancelFunc
-	dial      func(ctx context.Context, network, addr string) (net.Conn, error) // to app servers
+	dial      func(ctx context.Context, network, addr string) (net.Conn, error) // to endpoints
 	workers   sync.WaitGroup                                                    // goroutines besides those of the listener
 
-	phases  shutdownPhases // of the graceful shutdown
-	parser  *frontend.Parser
-	memory  *frontend.MemoryBudget // for bodies, and for what is read ahead of answers
-	clients *frontend.Tracker      // has a lock of its own
+	phases     shutdownPhases // of the graceful shutdown
+	parser     *frontend.Parser
+	memory     *frontend.MemoryBudget // for bodies, and for what is read ahead of answers
+	clients    *frontend.Tracker      // has a lock of its own
+	fatalError chan error             // takes the one error that ends the node
 
 	mu          sync.Mutex
 	gateway     policyGateway
-	events      []policy.Event // to be stepped, oldest first
-	dispatching bool
+	events      []policy.Event // not yet stepped, oldest first
 	actions     []policy.Action
+	dispatching bool // events are being stepped
 	requests    map[string]*request
 	pool        *upstream.Pool
-	draining    bool
-	rejecting   bool // all is answered: the process is about to be killed
-	closed      bool
-
-	discovery  *discovery.Client
-	counter    *counterclient.Client
-	fatalError chan error // takes the one error that ends the node
+	discovery   *discovery.Client
+	counter     *counterclient.Client // nil: there is no counter
+	draining    bool                  // a graceful shutdown has begun
+	rejecting   bool                  // all is answered, as the process is about to be killed
+	closed      bool                  // no event is stepped any more
 }
 
-// policyGateway is what the driver needs of a [policy.Gateway].
+// policyGateway is what a node needs of a [policy.Gateway].
 type policyGateway interface {
 	Step(now policy.Time, ev policy.Event, out []policy.Action) []policy.Action
 }
 
-// New returns an edge node that has not yet opened any socket.
+// New returns an edge node that has not yet opened any socket. It fails on settings that the
+// policy does not take.
 func New(cfg Config, log *slog.Logger) (*Node, error) {
-	began := time.Now()
-	n := &Node{cfg: cfg, log: log, startedAt: began, epoch: policy.Time(began.UnixNano()),
-		requests: map[string]*request{}, dial: (&net.Dialer{}).DialContext,
-		fatalError: make(chan error, 1)}
-	gw, err := policy.New(n.epoch, cfg.Settings.Policy(cfg.Seed))
+	startedAt := time.Now()
+	epoch := policy.Time(startedAt.UnixNano())
+	gateway, err := policy.New(epoch, cfg.Settings.Policy(cfg.Seed))
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	n.gateway = gw
-	n.discovery = n.newDiscoveryClient(cfg.Discovery)
-	n.phases = newShutdownPhases(n.longestDeadline())
-	n.parser = frontend.NewParser(cfg.Settings)
-	n.memory = frontend.NewMemoryBudget(bodyMemory(cfg.Memory))
-	n.clients = frontend.NewTracker(maxClientConns(cfg.Sockets), n.memory)
+	memory := frontend.NewMemoryBudget(bodyMemory(cfg.Memory))
+	n := &Node{
+		cfg:        cfg,
+		log:        log,
+		startedAt:  startedAt,
+		epoch:      epoch,
+		dial:       (&net.Dialer{}).DialContext,
+		phases:     newShutdownPhases(longestDeadline(cfg.Settings)),
+		parser:     frontend.NewParser(cfg.Settings),
+		memory:     memory,
+		clients:    frontend.NewTracker(maxClientConns(cfg.Sockets), memory),
+		fatalError: make(chan error, 1),
+		gateway:    gateway,
+		requests:   map[string]*request{},
+		pool:       upstream.NewPool(cfg.Settings, maxUpstreamConns(cfg.Sockets)),
+	}
 	n.ctx, n.stop = context.WithCancel(context.Background())
-	n.pool = upstream.NewPool(cfg.Settings, maxUpstreamConns(cfg.Sockets))
+	n.discovery = n.newDiscoveryClient(cfg.Discovery)
 	if cfg.Counter != "" {
 		n.counter = n.newCounterClient(cfg.Counter)
 	}
 	return n, nil
 }
 
-// start begins to follow discovery and to serve the module's calls.
+// start begins to follow discovery and to execute the policy's actions.
 func (n *Node) start() {
 	n.applyList(n.cfg.Known, policy.CachedUpdate)
 	if n.cfg.Discovery != "" {
@@ -124,13 +126,14 @@
 	n.workers.Wait()
 }
 
-// evictIdleConns drops idle connections until the node stops.
+// evictIdleConns closes connections to endpoints that were idle for too long, until the node
+// stops.
 func (n *Node) evictIdleConns() {
-	tick := time.NewTicker(n.pool.SweepInterval())
-	defer tick.Stop()
+	ticker := time.NewTicker(n.pool.SweepInterval())
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 			n.mu.Lock()
 			n.pool.EvictExpired(time.Now())
 			n.mu.Unlock()
@@ -140,11 +143,11 @@
 	}
 }
 
-// now reads the module's clock: the wall clock as it was at the start, moved on
+// now reads the policy's clock: the wall clock as it was at the start, moved on
 // by the monotonic one.
 func (n *Node) now() policy.Time { return n.epoch + time.Since(n.startedAt) }
 
-// dispatch hands an event to the module and carries out what it decides. Events
+// dispatch hands an event to the policy and executes the actions that it returns. Events
 // that come up meanwhile wait their turn. The lock is held.
 func (n *Node) dispatch(ev policy.Event) {
 	n.events = append(n.events, ev)
@@ -153,66 +156,68 @@
 	}
 	n.dispatching = true
 	defer n.recoverPanic()
-	for i := 0; i < len(n.events); i++ {
+	for i := 0; i < len(n.events); i++ { // executing an action may append an event
 		n.actions = n.gateway.Step(n.now(), n.events[i], n.actions[:0])
-		for _, a := range n.actions {
-			n.execute(a)
+		for _, action := range n.actions {
+			n.execute(action)
 		}
 	}
 	clear(n.events)
 	clear(n.actions)
-	n.events, n.dispatching = n.events[:0], false
+	n.events = n.events[:0]
+	n.dispatching = false
 }
 
-// recoverPanic ends the node if the module panics. The HTTP library would recoverPanic that by
-// itself and leave a node that takes requests and never steps again.
+// recoverPanic ends the node if the policy panics. The HTTP library would recover from that
+// by itself and leave a node that receives requests and never steps again.
 func (n *Node) recoverPanic() {
-	if p := recover(); p != nil {
-		n.log.Error("the module panicked", "panic", p, "stack", string(debug.Stack()))
-		n.closed = true
-		n.fatalError <- fmt.Errorf("the module panicked: %v", p)
+	cause := recover()
+	if cause == nil {
+		return
 	}
+	n.log.Error("the policy panicked", "panic", cause, "stack", string(debug.Stack()))
+	n.closed = true
+	n.fatalError <- fmt.Errorf("the policy panicked: %v", cause)
 }
 
-// execute does one action of the module.
-func (n *Node) execute(a policy.Action) {
-	switch a := a.(type) {
+// execute executes one action of the policy. The lock is held.
+func (n *Node) execute(action policy.Action) {
+	switch action := action.(type) {
 	case policy.StartAttempt:
-		n.startAttempt(a)
+		n.startAttempt(action)
 	case policy.CancelAttempt:
-		n.cancelAttempt(a)
+		n.cancelAttempt(action)
 	case policy.Reject:
-		n.finish(a.RequestID, answer{status: statusRejected, retryAfter: a.RetryAfter})
+		n.finish(action.RequestID, answer{status: statusRejected, retryAfter: action.RetryAfter})
 	case policy.Fail:
-		n.finish(a.RequestID, answer{status: statusFailed})
+		n.finish(action.RequestID, answer{status: statusFailed})
 	case policy.AddToCounter:
-		n.addToCounter(a)
+		n.addToCounter(action)
 	case policy.StartTimer:
-		n.startTimer(a)
+		n.startTimer(action.TimerID, action.After)
 	case policy.CheckHealth:
-		n.startHealthCheck(a.Endpoint)
+		n.startHealthCheck(action.Endpoint)
 	case policy.WatchEndpoints: // discovery is followed throughout
 	default:
-		n.log.Error("action not known to the driver", "action", fmt.Sprintf("%T", a))
+		n.log.Error("unknown action of the policy", "action", fmt.Sprintf("%T", action))
 	}
 }
 
-// cancelAttempt stops waiting for an attempt, if there is one of that number.
-func (n *Node) cancelAttempt(a policy.CancelAttempt) {
-	r := n.requests[a.RequestID]
-	if r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
+// cancelAttempt stops waiting for an attempt, if there is one of that number. The lock is held.
+func (n *Node) cancelAttempt(action policy.CancelAttempt) {
+	r := n.requests[action.RequestID]
+	if r == nil || action.Attempt < 0 || action.Attempt >= len(r.attempts) {
 		return
 	}
-	n.endAttempt(r.attempts[a.Attempt], policy.Canceled)
+	n.endAttempt(r.attempts[action.Attempt], policy.Canceled)
 }
 
-// startTimer tells the policy once a time has passed.
-func (n *Node) startTimer(a policy.StartTimer) {
-	timerID := a.TimerID
-	n.afterFunc(a.After, func() { n.dispatch(policy.TimerFired{TimerID: timerID}) })
+// startTimer notifies the policy once a time has passed.
+func (n *Node) startTimer(timerID uint64, after time.Duration) {
+	n.afterFunc(after, func() { n.dispatch(policy.TimerFired{TimerID: timerID}) })
 }
 
-// afterFunc runs f under the lock once d has passed, unless the node has stopped.
+// afterFunc runs f under the lock once d has passed, unless the node has closed.
 func (n *Node) afterFunc(d time.Duration, f func()) *time.Timer {
 	return time.AfterFunc(d, func() {
 		n.mu.Lock()
--- a/internal/edge/shutdown.go
+++ b/internal/edge/shutdown.go
@@ -7,6 +7,7 @@
 	"net"
 	"time"
 
+	"swiftpitch/internal/config"
 	"swiftpitch/internal/frontend"
 )
 
@@ -58,7 +59,7 @@
 	server := frontend.NewServer(ln, frontend.ServerConfig{
 		Handler:         n,
 		Tracker:         n.clients,
-		LongestDeadline: n.longestDeadline(),
+		LongestDeadline: longestDeadline(n.cfg.Settings),
 		Log:             n.log,
 	})
 	n.start()
@@ -113,10 +114,10 @@
 }
 
 // longestDeadline is the longest that a client waits, over all classes.
-func (n *Node) longestDeadline() time.Duration {
+func longestDeadline(settings *config.Settings) time.Duration {
 	longest := time.Duration(0)
-	for _, c := range n.cfg.Settings.Classes {
-		longest = max(longest, c.Deadline)
+	for _, class := range settings.Classes {
+		longest = max(longest, class.Deadline)
 	}
 	return longest
 }
