--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -9,9 +9,6 @@
 )
 
 const (
-	// cutLead is how long before a request's deadline its attempts are given
-	// up, so that the policy can still answer.
-	cutLead = 15 * time.Millisecond
 	// deadlineGuardMargin is how long before a request's deadline it is failed if the
 	// policy has not ended it.
 	deadlineGuardMargin = 8 * time.Millisecond
@@ -31,16 +28,16 @@
 // the end of its last attempt. The node's lock guards it.
 type request struct {
 	id       string
-	head     []byte // the forwarded head up to the deadline's value
+	forwardHead     []byte // the forwarded head up to the deadline's value
 	body     []byte
 	conn     *frontend.Conn // nil: not of a listener
-	came     time.Time      // when its last byte was read
+	receivedAt     time.Time      // when its last byte was read
 	deadline time.Time
-	window   time.Duration // for which repeats are dropped; 0: the class has no key
-	guard    *time.Timer   // fails the request shortly before its deadline
+	dedupWindow   time.Duration // for which repeats are dropped; 0: the class has no key
+	deadlineGuard    *time.Timer   // fails the request shortly before its deadline
 	attempts []*attempt
-	out      int         // attempts without an outcome
-	final    bool        // answered, or the client has disconnected
+	attemptsInFlight      int         // attempts without an outcome
+	answered    bool        // answered, or the client has disconnected
 	answer   chan answer // takes the one final answer
 }
 
@@ -56,12 +53,12 @@
 func newRequest(parsed *frontend.Request, conn *frontend.Conn) *request {
 	return &request{
 		id:       parsed.Event.RequestID,
-		head:     parsed.ForwardHead,
+		forwardHead:     parsed.ForwardHead,
 		body:     parsed.Body,
 		conn:     conn,
-		came:     parsed.ReceivedAt,
+		receivedAt:     parsed.ReceivedAt,
 		deadline: parsed.Deadline,
-		window:   parsed.DedupWindow,
+		dedupWindow:   parsed.DedupWindow,
 	}
 }
 
@@ -74,12 +71,12 @@
 		return false
 	}
 	r.answer = make(chan answer, 1)
-	if n.over {
-		r.final = true
+	if n.rejecting {
+		r.answered = true
 		r.answer <- answer{status: statusRejected}
 		return true
 	}
-	r.guard = n.after(time.Until(r.deadline)-deadlineGuardMargin, func() { n.expire(r) })
+	r.deadlineGuard = n.afterFunc(time.Until(r.deadline)-deadlineGuardMargin, func() { n.expire(r) })
 	n.requests[r.id] = r
 	n.post(event)
 	return true
@@ -102,10 +99,10 @@
 	n.abort(r, answer{})
 }
 
-// missed looks, before an attempt of a request that has waited, whether its client
+// detectDisconnect looks, before an attempt of a request that has waited, whether its client
 // has disconnected: who reads its connection may not have got round to that. The lock is held.
-func (n *Node) missed(r *request, now time.Time) {
-	if r.conn != nil && !r.final && now.Sub(r.came) > disconnectCheckAge && r.conn.DetectDisconnect() {
+func (n *Node) detectDisconnect(r *request, now time.Time) {
+	if r.conn != nil && !r.answered && now.Sub(r.receivedAt) > disconnectCheckAge && r.conn.DetectDisconnect() {
 		n.clientDisconnectedLocked(r)
 	}
 }
@@ -113,34 +110,34 @@
 // abort gives a request its final answer without the policy, and tells the policy that
 // nothing more is owed. The lock is held.
 func (n *Node) abort(r *request, a answer) {
-	if r.final {
+	if r.answered {
 		return
 	}
-	n.settle(r, a)
+	n.deliverAnswer(r, a)
 	n.post(policy.ClientDisconnected{RequestID: r.id})
-	n.release(r)
+	n.forgetIfDone(r)
 }
 
 // finish carries out a final answer of the policy. The lock is held.
 func (n *Node) finish(id string, a answer) {
 	r := n.requests[id]
-	if r == nil || r.final {
+	if r == nil || r.answered {
 		return
 	}
-	n.settle(r, a)
-	n.release(r)
+	n.deliverAnswer(r, a)
+	n.forgetIfDone(r)
 }
 
-// settle gives a request its one final answer. The lock is held.
-func (n *Node) settle(r *request, a answer) {
-	r.final = true
-	r.guard.Stop()
+// deliverAnswer gives a request its one final answer. The lock is held.
+func (n *Node) deliverAnswer(r *request, a answer) {
+	r.answered = true
+	r.deadlineGuard.Stop()
 	r.answer <- a
 }
 
-// release forgets a request that is answered and has no attempt in flight. The lock is held.
-func (n *Node) release(r *request) {
-	if r.final && r.out == 0 && n.requests[r.id] == r {
+// forgetIfDone forgets a request that is answered and has no attempt in flight. The lock is held.
+func (n *Node) forgetIfDone(r *request) {
+	if r.answered && r.attemptsInFlight == 0 && n.requests[r.id] == r {
 		delete(n.requests, r.id)
 	}
 }
