--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -11,6 +11,10 @@
 	"swiftpitch/internal/upstream"
 )
 
+// attemptDeadlineMargin is how long before a request's deadline its attempts are given
+// up, so that the policy can still answer.
+const attemptDeadlineMargin = 15 * time.Millisecond
+
 // attempt is one attempt of a request at one endpoint. The node's lock guards it; its
 // goroutine reads without the lock only what is set before it starts (request, number,
 // endpoint, addr).
@@ -83,8 +87,8 @@
 	n.workers.Go(func() { n.runAttempt(ctx, a, conn, text) })
 }
 
-// attemptTimeout returns how long an attempt may take that starts now: until the cut
-// lead before the request's deadline, or less if the policy sets a timeout above 0.
+// attemptTimeout returns how long an attempt may take that starts now: until the margin
+// before the request's deadline, or less if the policy sets a timeout above 0.
 func (r *request) attemptTimeout(policyTimeout time.Duration, now time.Time) time.Duration {
 	timeout := r.deadline.Sub(now) - attemptDeadlineMargin
 	if policyTimeout != 0 {
