--- a/internal/edge/counter.go
+++ b/internal/edge/counter.go
@@ -15,7 +15,7 @@
 	return counterclient.New(address, counterclient.Options{
 		Context:     n.ctx,
 		Lock:        &n.mu,
-		DialTimeout: n.pool.dial,
+		DialTimeout: n.pool.DialTimeout(),
 		Go:          n.worker.Go,
 		AfterFunc:   n.after,
 		OnReply:     func(reply policy.CounterReplied) { n.post(reply) },
