--- a/internal/edge/handler_test.go
+++ b/internal/edge/handler_test.go
@@ -7,9 +7,10 @@
 	"net"
 	"net/http"
 	"strings"
-	"swiftpitch/internal/frontend"
 	"testing"
 	"time"
+
+	"swiftpitch/internal/frontend"
 )
 
 // Guards the listener against what can't be served: it is answered 400 and
--- a/internal/edge/harness_test.go
+++ b/internal/edge/harness_test.go
@@ -9,11 +9,12 @@
 	"net"
 	"net/http"
 	"strings"
-	"swiftpitch/internal/config"
-	"swiftpitch/internal/discovery"
 	"sync"
 	"testing"
 	"time"
+
+	"swiftpitch/internal/config"
+	"swiftpitch/internal/discovery"
 )
 
 // patience bounds every wait of these tests; none of them needs nearly as long.
--- a/internal/edge/node_test.go
+++ b/internal/edge/node_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"io"
-	"swiftpitch/internal/policy"
 	"testing"
 	"time"
+
+	"swiftpitch/internal/policy"
 )
 
 type panics struct{}
