--- a/internal/edge/endpoints.go
+++ b/internal/edge/endpoints.go
@@ -16,36 +16,66 @@
 	discovery.Deleted:  policy.Removed,
 }
 
-// applyList takes news of the app servers and tells the module.
+// listedEndpoints is what one list of discovery names.
+type listedEndpoints struct {
+	ids              map[string]bool
+	servingAddresses map[string]bool
+}
+
+// applyList brings the connection pool up to date with a list of discovery and notifies the
+// policy.
 func (n *Node) applyList(list discovery.List, scope policy.UpdateScope) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	named, held := map[string]bool{}, map[string]string{}
-	entries := make([]policy.Endpoint, 0, len(list.Instances))
-	for _, e := range list.Instances {
-		state, ok := endpointStates[e.Lifecycle]
-		if !ok || e.ID == "" {
-			n.log.Warn("discovery lists an app server in no known state", "id", e.ID, "lifecycle", e.Lifecycle)
+	listed := listedEndpoints{ids: map[string]bool{}, servingAddresses: map[string]bool{}}
+	endpoints := make([]policy.Endpoint, 0, len(list.Instances))
+	for _, instance := range list.Instances {
+		state, ok := endpointStates[instance.Lifecycle]
+		if !ok || instance.ID == "" {
+			n.log.Warn("discovery lists an endpoint without an ID or in an unknown state",
+				"id", instance.ID, "lifecycle", instance.Lifecycle)
 			continue
 		}
-		named[e.ID] = true
+		listed.ids[instance.ID] = true
 		if state == policy.Serving {
-			held[e.HostPort] = e.ID
+			listed.servingAddresses[instance.HostPort] = true
 		}
-		entries = append(entries, policy.Endpoint{ID: e.ID, Zone: slices.Index(n.cfg.Settings.Zones, e.Zone),
-			Cell: e.Cell, Weight: e.Weight, StartedAt: policy.Time(e.StartedAt) * policy.Time(time.Millisecond), State: state})
-		n.pool.UpdateEndpoint(upstream.EndpointUpdate{ID: e.ID, Addr: e.HostPort, StartedAtMS: e.StartedAt, State: state}, now)
+		endpoints = append(endpoints, n.policyEndpoint(instance, state))
+		n.pool.UpdateEndpoint(upstream.EndpointUpdate{ID: instance.ID, Addr: instance.HostPort,
+			StartedAtMS: instance.StartedAt, State: state}, now)
 	}
+	endpoints = append(endpoints, n.removeUnlisted(listed, scope, now)...)
+	n.post(policy.EndpointsUpdated{Scope: scope, Endpoints: endpoints})
+}
+
+// policyEndpoint translates an instance of discovery for the policy.
+func (n *Node) policyEndpoint(instance discovery.Instance, state policy.EndpointState) policy.Endpoint {
+	return policy.Endpoint{
+		ID:        instance.ID,
+		Zone:      slices.Index(n.cfg.Settings.Zones, instance.Zone),
+		Cell:      instance.Cell,
+		Weight:    instance.Weight,
+		StartedAt: policy.Time(instance.StartedAt) * policy.Time(time.Millisecond),
+		State:     state,
+	}
+}
+
+// removeUnlisted removes from the pool the endpoints that a list shows to be gone without
+// naming them, and returns those of which the policy does not learn by the scope of the
+// update. The lock is held.
+func (n *Node) removeUnlisted(listed listedEndpoints, scope policy.UpdateScope, now time.Time) []policy.Endpoint {
+	var removed []policy.Endpoint
 	for id, endpoint := range n.pool.Endpoints() {
-		switch by := held[endpoint.Addr()]; {
-		case named[id]:
+		switch {
+		case listed.ids[id]:
 		case scope == policy.FullUpdate:
 			n.pool.RemoveEndpoint(id, now)
-		case by != "": // another process has its address: what is sent there would reach that one
+		case listed.servingAddresses[endpoint.Addr()]:
+			// Another process has its address: a request forwarded there would reach that one.
 			n.pool.RemoveEndpoint(id, now)
-			entries = append(entries, policy.Endpoint{ID: id, State: policy.Removed})
+			removed = append(removed, policy.Endpoint{ID: id, State: policy.Removed})
 		}
 	}
-	n.post(policy.EndpointsUpdated{Scope: scope, Endpoints: entries})
+	return removed
 }
