--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -16,50 +16,76 @@
 	"swiftpitch/internal/policy"
 )
 
-// Guards the list of app servers: the whole list first, then watches from its
-// version, changes applied, entries missing from a whole list gone, and a
-// connection that breaks does not lose what is known.
+// respondList sends a list of discovery and keeps the connection open.
+func respondList(conn net.Conn, list string) bool {
+	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
+	return true
+}
+
+// respondUnavailable sends a status of 503 and keeps the connection open.
+func respondUnavailable(conn net.Conn) bool {
+	fmt.Fprint(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+	return true
+}
+
+// knownInstances is the list of one endpoint that serves.
+func knownInstances() []discovery.Instance {
+	return []discovery.Instance{{ID: "s-0", HostPort: "127.0.0.1:9", Lifecycle: discovery.Serving}}
+}
+
+// newPollingConfig returns the configuration of a node in a fleet that polls discovery.
+func newPollingConfig(t *testing.T, address string, seed uint64, gateways int) Config {
+	t.Helper()
+	cfg := testConfig(t)
+	cfg.Discovery = address
+	cfg.Seed = seed
+	cfg.Settings.Gateways = gateways
+	cfg.Settings.DiscoveryMode = "ask"
+	cfg.Settings.Rules.SubscriptionTimeout = 10 * time.Second
+	cfg.Known.Instances = knownInstances()
+	return cfg
+}
+
+// newIdleNode returns a node that is not started.
+func newIdleNode(t *testing.T, cfg Config) *Node {
+	t.Helper()
+	n, err := New(cfg, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return n
+}
+
+// Guards the list of endpoints: the full list first, then watches from its version, changes
+// applied, entries missing from a full list gone, and a connection that breaks does not lose
+// what is known.
 func TestDiscovery(t *testing.T) {
 	entry := func(id, state string) string {
 		return fmt.Sprintf(`{"instanceId":%q,"hostPort":"127.0.0.%d:9","zone":"b","lifecycle":%q,"weight":1,"startedAtMs":0}`,
 			id, id[0], state)
 	}
-	step := make(chan string)
+	lists := make(chan string)
 	uris := make(chan string, 16)
-	disco := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	service := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		uris <- req.RequestURI
-		text, ok := <-step
-		if !ok || text == "" {
-			return false
-		}
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-		return true
+		list, ok := <-lists
+		return ok && list != "" && respondList(c, list)
 	})
-	t.Cleanup(func() { close(step) })
+	t.Cleanup(func() { close(lists) })
 	cfg := testConfig(t)
-	cfg.Discovery = disco.addr
+	cfg.Discovery = service.addr
 	r := startNode(t, cfg)
-	serving := func(want string) {
+	expectServing := func(want string) {
 		t.Helper()
-		eventually(t, "the list "+want, func() bool {
-			r.node.mu.Lock()
-			defer r.node.mu.Unlock()
-			got := ""
-			for _, id := range []string{"a", "b", "c"} {
-				if endpoint := r.node.pool.Endpoint(id); endpoint != nil && endpoint.IsServing() {
-					got += id
-				}
-			}
-			return got == want
-		})
+		eventually(t, "the list "+want, func() bool { return r.node.servingAmong("a", "b", "c") == want })
 	}
-	step <- `{"generation":41,"reset":true,"instances":[` + entry("a", "SERVING") + "," + entry("b", "SERVING") + `]}`
-	serving("ab")
-	step <- `{"generation":42,"reset":false,"instances":[` + entry("b", "DRAINING") + "," + entry("c", "SERVING") + `]}`
-	serving("ac")
-	step <- "" // breaks: asked again
-	step <- `{"generation":43,"reset":true,"instances":[` + entry("c", "SERVING") + `]}`
-	serving("c")
+	lists <- `{"generation":41,"reset":true,"instances":[` + entry("a", "SERVING") + "," + entry("b", "SERVING") + `]}`
+	expectServing("ab")
+	lists <- `{"generation":42,"reset":false,"instances":[` + entry("b", "DRAINING") + "," + entry("c", "SERVING") + `]}`
+	expectServing("ac")
+	lists <- "" // the connection breaks, and the call is repeated
+	lists <- `{"generation":43,"reset":true,"instances":[` + entry("c", "SERVING") + `]}`
+	expectServing("c")
 	var got []string
 	for range 4 {
 		got = append(got, <-uris)
@@ -70,9 +96,22 @@
 	}
 }
 
-// Guards a new address of discovery: a watch that would hang at the old one is
-// called off, and the whole list is asked of the new one.
-func TestDiscoveryMoves(t *testing.T) {
+// servingAmong joins those of the given endpoints that serve.
+func (n *Node) servingAmong(ids ...string) string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	serving := ""
+	for _, id := range ids {
+		if endpoint := n.pool.Endpoint(id); endpoint != nil && endpoint.IsServing() {
+			serving += id
+		}
+	}
+	return serving
+}
+
+// Guards a new address of discovery: a watch that would hang at the previous one is
+// canceled, and the new one is called for the full list.
+func TestDiscoveryChangesAddress(t *testing.T) {
 	hang := make(chan struct{})
 	t.Cleanup(func() { close(hang) })
 	list := func(id string, uris chan<- string) func(net.Conn, *http.Request, []byte) bool {
@@ -82,10 +121,8 @@
 				<-hang
 				return false
 			}
-			text := fmt.Sprintf(`{"generation":7,"reset":true,"instances":[{"instanceId":%q,"hostPort":"127.0.0.1:9",`+
-				`"lifecycle":"SERVING"}]}`, id)
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-			return true
+			return respondList(c, fmt.Sprintf(`{"generation":7,"reset":true,"instances":`+
+				`[{"instanceId":%q,"hostPort":"127.0.0.1:9","lifecycle":"SERVING"}]}`, id))
 		}
 	}
 	before, after := make(chan string, 16), make(chan string, 16)
@@ -95,23 +132,23 @@
 	if first, watch := <-before, <-before; first != "/api/targets" || !strings.Contains(watch, "index=7") {
 		t.Fatalf("calls %q, %q", first, watch)
 	}
-	moved := time.Now()
+	changedAt := time.Now()
 	r.node.Move(startApp(t, list("new", after)).addr, "")
 	if first, watch := <-after, <-after; first != "/api/targets" || !strings.Contains(watch, "index=7") {
 		t.Errorf("calls at the new address %q, %q", first, watch)
 	}
-	if time.Since(moved) >= discovery.WatchLongPollWait {
-		t.Error("the old watch was not called off")
+	if time.Since(changedAt) >= discovery.WatchLongPollWait {
+		t.Error("the previous watch was not canceled")
 	}
 	r.node.mu.Lock()
 	defer r.node.mu.Unlock()
 	if endpoints := maps.Collect(r.node.pool.Endpoints()); len(endpoints) != 1 || endpoints["new"] == nil {
-		t.Errorf("app servers %v", endpoints)
+		t.Errorf("endpoints %v", endpoints)
 	}
 }
 
-// Guards against sending to a process under another one's id: a new app server at
-// the address of one still listed takes its place, and gets connections of its own.
+// Guards against forwarding to a process under another one's id: a new endpoint at the
+// address of one still listed takes its place, and gets connections of its own.
 func TestAddressTakenOver(t *testing.T) {
 	app := startApp(t, say(hello))
 	r := startNode(t, testConfig(t), app.addr)
@@ -128,45 +165,54 @@
 	}
 }
 
-// Guards discovery against a fleet in step: nodes that start together spread their
-// first calls, ask for what they missed instead of the whole list, and after failed
-// calls wait so long that all of them together call no more than the service serves,
-// and no longer than leaves each of them in time for what counts as told.
+// pollRecorder stands in for the pauses between the calls of a node that polls discovery:
+// it records them without waiting, and stops the node after a number of failed calls.
+type pollRecorder struct {
+	t        *testing.T
+	node     *Node
+	failures int
+	waits    []time.Duration
+	pausedAt time.Time // when the last pause ended and the call after it began
+}
+
+func (p *pollRecorder) pause(_ context.Context, wait time.Duration) {
+	if len(p.waits) > 0 {
+		minInterval := time.Duration((1 - discovery.PollIntervalJitter) * float64(discovery.MaxPollInterval))
+		if interval := wait + time.Since(p.pausedAt); interval < minInterval {
+			p.t.Errorf("a call %v after the one before: the fleet calls too often", interval)
+		}
+		if wait+discovery.PollResponseAllowance >= discovery.NotificationDeadline {
+			p.t.Errorf("a wait of %v: what discovery had counts as notified after %v", wait, discovery.NotificationDeadline)
+		}
+	}
+	p.waits = append(p.waits, wait)
+	if len(p.waits) > p.failures {
+		p.node.stop()
+	}
+	p.pausedAt = time.Now()
+}
+
+// Guards discovery against a fleet in step: nodes that start together spread their first
+// calls, ask for what they missed instead of the full list, and after failed calls wait so
+// long that all of them together call no more than the service serves, and no longer than
+// leaves each of them time until what it misses counts as notified.
 func TestFleetSpreadsItsCallsToDiscovery(t *testing.T) {
 	uris := make(chan string, 1024)
-	disco := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	service := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		uris <- req.RequestURI
-		fmt.Fprint(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-		return true
+		return respondUnavailable(c)
 	})
 	const fleet, failures = 80, 4
 	const window = discovery.MaxJitterWindow // 80 nodes would spread over longer than may be
 	quarters := [4]int{}                     // of the window, in which nodes make their first call
 	for seed := range uint64(fleet) {
-		cfg := testConfig(t)
-		cfg.Discovery, cfg.Seed, cfg.Settings.Gateways = disco.addr, seed, fleet
-		cfg.Settings.DiscoveryMode, cfg.Settings.Rules.SubscriptionTimeout = "ask", 10*time.Second
-		cfg.Known = discovery.List{Generation: 41, Instances: []discovery.Instance{{ID: "s-0", HostPort: "127.0.0.1:9", Lifecycle: "SERVING"}}}
-		n, err := New(cfg, slog.New(slog.DiscardHandler))
-		if err != nil {
-			t.Fatal(err)
-		}
-		var waits []time.Duration
-		paused := time.Now()
-		n.discovery.Options.Pause = func(_ context.Context, d time.Duration) {
-			began := paused // of the call before, which followed the last pause at once
-			if period := d + time.Since(began); len(waits) > 0 && period < time.Duration((1-discovery.PollIntervalJitter)*float64(discovery.MaxPollInterval)) {
-				t.Errorf("a call %v after the one before: %d nodes call too often", period, fleet)
-			}
-			if len(waits) > 0 && d+discovery.PollResponseAllowance >= discovery.NotificationDeadline {
-				t.Errorf("a wait of %v: what discovery had counts as told after %v", d, discovery.NotificationDeadline)
-			}
-			if waits = append(waits, d); len(waits) > failures {
-				n.stop()
-			}
-			paused = time.Now()
-		}
+		cfg := newPollingConfig(t, service.addr, seed, fleet)
+		cfg.Known.Generation = 41
+		n := newIdleNode(t, cfg)
+		recorder := &pollRecorder{t: t, node: n, failures: failures, pausedAt: time.Now()}
+		n.discovery.Options.Pause = recorder.pause
 		n.discovery.Run(n.ctx)
+		waits := recorder.waits
 		if len(waits) != failures+1 || waits[0] < 0 || waits[0] >= window {
 			t.Fatalf("waits %v, want %d and the first within %v", waits, failures+1, window)
 		}
@@ -177,39 +223,38 @@
 			t.Fatalf("call %q, want a watch from what is known", uri)
 		}
 	}
-	for i, k := range quarters {
-		if k < fleet/4/3 || k > fleet/4*2 {
-			t.Errorf("%d of %d first calls in quarter %d of %v", k, fleet, i, window)
+	for i, calls := range quarters {
+		if calls < fleet/4/3 || calls > fleet/4*2 {
+			t.Errorf("%d of %d first calls in quarter %d of %v", calls, fleet, i, window)
 		}
 	}
 }
 
-// Guards a new process where news are pushed: what the agent on its machine has counts as
-// told from the first moment, so the first call comes before any wait, and the waits after
-// failed calls stay well within the time for which a server that drains may be sent to.
-func TestPushedNewsAreAskedForAtOnce(t *testing.T) {
+// Guards a new process where discovery is watched: what the agent on its machine has counts
+// as notified from the first moment, so the first call comes before any wait, and the waits
+// after failed calls stay well within the drain grace, for which an endpoint that drains may
+// get requests.
+func TestWatchCallsAtOnce(t *testing.T) {
 	for _, grace := range []time.Duration{0, 150 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second} {
 		calls := make(chan string, 64)
-		disco := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+		service := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 			calls <- req.RequestURI
-			fmt.Fprint(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-			return true
+			return respondUnavailable(c)
 		})
 		cfg := testConfig(t)
-		cfg.Discovery, cfg.Settings.Rules.DrainGrace = disco.addr, grace
-		cfg.Known.Instances = []discovery.Instance{{ID: "s-0", Lifecycle: "SERVING"}}
-		n, err := New(cfg, slog.New(slog.DiscardHandler))
-		if err != nil {
-			t.Fatal(err)
-		}
+		cfg.Discovery = service.addr
+		cfg.Settings.Rules.DrainGrace = grace
+		cfg.Known.Instances = []discovery.Instance{{ID: "s-0", Lifecycle: discovery.Serving}}
+		n := newIdleNode(t, cfg)
 		const failures = 8
 		waits := 0
-		n.discovery.Options.Pause = func(_ context.Context, d time.Duration) {
-			if waits++; len(calls) < waits {
-				t.Errorf("grace %v: a wait of %v before call %d", grace, d, waits)
+		n.discovery.Options.Pause = func(_ context.Context, wait time.Duration) {
+			waits++
+			if len(calls) < waits {
+				t.Errorf("grace %v: a wait of %v before call %d", grace, wait, waits)
 			}
-			if grace > 0 && d > grace/2 {
-				t.Errorf("grace %v: a wait of %v", grace, d)
+			if grace > 0 && wait > grace/2 {
+				t.Errorf("grace %v: a wait of %v", grace, wait)
 			}
 			if waits == failures {
 				n.stop()
@@ -219,9 +264,9 @@
 	}
 }
 
-// Guards a watch that has fallen silent: it is given up and opened anew on another
-// connection, with what it missed, long before that counts as told.
-func TestSilentWatchIsOpenedAnew(t *testing.T) {
+// Guards a watch that has fallen silent: it is given up and renewed on another connection,
+// with what it missed, long before that counts as notified.
+func TestSilentWatchIsRenewed(t *testing.T) {
 	timing := discovery.NewTiming(testConfig(t).Settings)
 	renewal := timing.LongPollWait + timing.SilenceMargin + timing.MinBackoff
 	if deadline := 6 * time.Second; renewal >= deadline {
@@ -230,30 +275,24 @@
 	ports := make(chan string, 64)
 	silent := make(chan struct{})
 	t.Cleanup(func() { close(silent) })
-	var met atomic.Int32
-	disco := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	var calls atomic.Int32
+	service := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		ports <- c.RemoteAddr().String()
-		switch met.Add(1) {
+		switch calls.Add(1) {
 		case 1: // what is known is up to date
-			text := `{"generation":7,"reset":false,"instances":[]}`
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-			return true
+			return respondList(c, `{"generation":7,"reset":false,"instances":[]}`)
 		case 2:
 			<-silent
 			return false
 		}
-		text := `{"generation":8,"reset":false,"instances":[{"instanceId":"s-0","hostPort":"127.0.0.1:9","lifecycle":"DRAINING"}]}`
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-		return true
+		return respondList(c, `{"generation":8,"reset":false,"instances":`+
+			`[{"instanceId":"s-0","hostPort":"127.0.0.1:9","lifecycle":"DRAINING"}]}`)
 	})
 	cfg := testConfig(t)
-	cfg.Discovery = disco.addr
+	cfg.Discovery = service.addr
 	cfg.Known.Generation = 7
-	cfg.Known.Instances = []discovery.Instance{{ID: "s-0", HostPort: "127.0.0.1:9", Lifecycle: "SERVING"}}
-	n, err := New(cfg, slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
-	}
+	cfg.Known.Instances = knownInstances()
+	n := newIdleNode(t, cfg)
 	n.discovery.Options.Timing.LongPollWait = 10 * time.Millisecond
 	n.discovery.Options.Timing.SilenceMargin = 10 * time.Millisecond
 	n.start()
@@ -261,7 +300,7 @@
 	if _, first, second := <-ports, <-ports, <-ports; first == second {
 		t.Error("the new watch is on the connection that fell silent")
 	}
-	eventually(t, "the news", func() bool {
+	eventually(t, "the drain", func() bool {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		endpoint := n.pool.Endpoint("s-0")
@@ -269,84 +308,89 @@
 	})
 }
 
-// Guards drains where discovery is one service that a large fleet asks: watches that fall
+// Guards drains where discovery is one service that a large fleet polls: calls that fall
 // silent together are found so one after another, and each node waits no longer than leaves
-// the next call its time until what it misses counts as told.
-func TestAskedWatchesThatFallSilentTogether(t *testing.T) {
-	const hold, fleet = 100 * time.Millisecond, 12
+// the next call its time until what it misses counts as notified.
+func TestPolledCallsThatFallSilentTogether(t *testing.T) {
+	const fleet = 12
 	holds := map[int]bool{}
 	for seed := range uint64(fleet) {
-		var met atomic.Int32
-		silent, waits := make(chan struct{}), make(chan int, 64)
-		disco := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
-			var ms int
-			fmt.Sscan(req.URL.Query().Get("wait"), &ms)
-			waits <- ms
-			if met.Add(1) == 3 {
-				<-silent
-				return false
-			}
-			text := `{"generation":8,"reset":false,"instances":[]}`
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-			return met.Load() < 3
-		})
-		cfg := testConfig(t)
-		cfg.Discovery, cfg.Seed, cfg.Settings.Gateways = disco.addr, seed, 300
-		cfg.Settings.DiscoveryMode, cfg.Settings.Rules.SubscriptionTimeout = "ask", 10*time.Second
-		cfg.Known.Instances = []discovery.Instance{{ID: "s-0", HostPort: "127.0.0.1:9", Lifecycle: "SERVING"}}
-		n, err := New(cfg, slog.New(slog.DiscardHandler))
-		if err != nil {
-			t.Fatal(err)
+		for _, ms := range heldPolls(t, seed) {
+			holds[ms] = true
 		}
-		n.discovery.Options.Timing.LongPollWait = hold
-		n.discovery.Options.Timing.SilenceMargin = hold
-		pauses := 0
-		n.discovery.Options.Pause = func(_ context.Context, d time.Duration) {
-			if pauses++; pauses == 2 { // the first is that of the start
-				if d > discovery.NotificationDeadline-discovery.PollResponseAllowance || d <= 0 {
-					t.Errorf("seed %d: the new watch waits %v, what is missed counts as told after %v", seed, d, discovery.NotificationDeadline)
-				}
-				n.stop()
-			}
+	}
+	if len(holds) < fleet {
+		t.Errorf("%d calls are held for %d different times", 2*fleet, len(holds))
+	}
+}
+
+// heldPolls runs a node whose third call to discovery falls silent, and returns the
+// long-poll waits of its second and third call in milliseconds.
+func heldPolls(t *testing.T, seed uint64) [2]int {
+	t.Helper()
+	const hold = 100 * time.Millisecond
+	var calls atomic.Int32
+	silent, holds := make(chan struct{}), make(chan int, 64)
+	defer close(silent)
+	service := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+		var ms int
+		fmt.Sscan(req.URL.Query().Get("wait"), &ms)
+		holds <- ms
+		if calls.Add(1) == 3 {
+			<-silent
+			return false
 		}
-		n.discovery.Run(n.ctx)
-		close(silent)
-		if ms := <-waits; ms > 1 {
-			t.Errorf("seed %d: the first call is held for %d ms, which a hung one would cost", seed, ms)
+		respondList(c, `{"generation":8,"reset":false,"instances":[]}`)
+		return calls.Load() < 3
+	})
+	n := newIdleNode(t, newPollingConfig(t, service.addr, seed, 300))
+	n.discovery.Options.Timing.LongPollWait = hold
+	n.discovery.Options.Timing.SilenceMargin = hold
+	pauses := 0
+	n.discovery.Options.Pause = func(_ context.Context, wait time.Duration) {
+		pauses++
+		if pauses != 2 { // the first is that of the start
+			return
 		}
-		for range 2 {
-			ms := <-waits
-			if float64(ms) < discovery.MinLongPollWaitFraction*float64(hold.Milliseconds())-1 || ms > int(hold.Milliseconds()) {
-				t.Errorf("seed %d: a watch of %d ms", seed, ms)
-			}
-			holds[ms] = true
+		if wait > discovery.NotificationDeadline-discovery.PollResponseAllowance || wait <= 0 {
+			t.Errorf("seed %d: the next call waits %v, what is missed counts as notified after %v",
+				seed, wait, discovery.NotificationDeadline)
 		}
+		n.stop()
 	}
-	if len(holds) < fleet {
-		t.Errorf("%d watches are held for %d different times", 2*fleet, len(holds))
+	n.discovery.Run(n.ctx)
+	if ms := <-holds; ms > 1 {
+		t.Errorf("seed %d: the first call is held for %d ms, which a hung one would cost", seed, ms)
+	}
+	var held [2]int
+	for i := range held {
+		held[i] = <-holds
+		if float64(held[i]) < discovery.MinLongPollWaitFraction*float64(hold.Milliseconds())-1 || held[i] > int(hold.Milliseconds()) {
+			t.Errorf("seed %d: a call held for %d ms", seed, held[i])
+		}
 	}
+	return held
 }
 
-// Guards a process that starts with no app server known and with discovery down: it is not
+// Guards a process that starts with no endpoint known and with discovery down: it is not
 // ready before it has a list, and is ready once it has.
 func TestReadyWithTheFirstList(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		var up atomic.Bool
-		asked := make(chan string, 1024)
-		disco := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
-			if !up.Load() {
-				asked <- req.RequestURI
-				fmt.Fprint(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-				return true
+		calls := make(chan string, 1024)
+		service := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+			if up.Load() {
+				return respondList(c, `{"generation":8,"reset":true,"instances":`+
+					`[{"instanceId":"s-0","hostPort":"127.0.0.1:9","lifecycle":"SERVING"}]}`)
 			}
-			text := `{"generation":8,"reset":true,"instances":[{"instanceId":"s-0","hostPort":"127.0.0.1:9","lifecycle":"SERVING"}]}`
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-			return true
+			calls <- req.RequestURI
+			return respondUnavailable(c)
 		})
 		cfg := testConfig(t)
-		cfg.Discovery, cfg.Settings.DiscoveryMode = disco.addr, mode
+		cfg.Discovery = service.addr
+		cfg.Settings.DiscoveryMode = mode
 		r := startNode(t, cfg)
-		if uri := receive(t, "a call", asked); uri != "/api/targets" {
+		if uri := receive(t, "a call", calls); uri != "/api/targets" {
 			t.Errorf("%s: the first call is %s", mode, uri)
 		}
 		ready := func() int {
