--- /dev/null
+++ b/internal/discovery/fetch.go
@@ -0,0 +1,60 @@
+package discovery
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// StatusError reports an HTTP status other than 200 from the discovery service.
+type StatusError struct {
+	Address string // of the discovery service
+	Code    int    // HTTP status
+}
+
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("discovery at %s: status %d", e.Address, e.Code)
+}
+
+// call is what one call to the discovery service asks for and how long it may take.
+type call struct {
+	fullList     bool          // else only what changed after index
+	index        int64         // version of the known list
+	longPollWait time.Duration // for which the service may hold a call that has nothing to report
+	timeout      time.Duration // after which the call has failed
+}
+
+// url returns the URL of the call at an address of the discovery service.
+func (c call) url(address string) string {
+	url := "http://" + address + "/api/targets"
+	if c.fullList {
+		return url
+	}
+	return url + "?index=" + strconv.FormatInt(c.index, 10) +
+		"&wait=" + strconv.FormatInt(c.longPollWait.Milliseconds(), 10)
+}
+
+// fetch makes one call to the discovery service at an address.
+func fetch(ctx context.Context, client *http.Client, address string, next call) (List, error) {
+	ctx, cancel := context.WithTimeout(ctx, next.timeout)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, next.url(address), nil)
+	if err != nil {
+		return List{}, fmt.Errorf("calling discovery at %s: %w", address, err)
+	}
+	resp, err := client.Do(req)
+	if err != nil {
+		return List{}, fmt.Errorf("calling discovery at %s: %w", address, err)
+	}
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return List{}, &StatusError{Address: address, Code: resp.StatusCode}
+	}
+	list, err := decodeList(resp.Body)
+	if err != nil {
+		return List{}, fmt.Errorf("reading the list of discovery at %s: %w", address, err)
+	}
+	return list, nil
+}
--- /dev/null
+++ b/internal/discovery/fetch_test.go
@@ -0,0 +1,38 @@
+package discovery
+
+import (
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Guards the error of a call that the service rejects: it names the address and the status.
+func TestFetchReportsStatus(t *testing.T) {
+	service := httptest.NewServer(http.NotFoundHandler())
+	t.Cleanup(service.Close)
+	address := strings.TrimPrefix(service.URL, "http://")
+	_, err := fetch(t.Context(), service.Client(), address, call{fullList: true, timeout: 20 * time.Second})
+	var status *StatusError
+	if !errors.As(err, &status) || status.Address != address || status.Code != http.StatusNotFound {
+		t.Errorf("error %v, want status 404 of %s", err, address)
+	}
+}
+
+// Guards the form of a call: the full list, or what changed after a version.
+func TestCallURL(t *testing.T) {
+	tests := []struct {
+		call call
+		want string
+	}{
+		{call{fullList: true, index: 7, longPollWait: time.Second}, "http://host:1/api/targets"},
+		{call{index: 7, longPollWait: 1500 * time.Millisecond}, "http://host:1/api/targets?index=7&wait=1500"},
+	}
+	for _, test := range tests {
+		if got := test.call.url("host:1"); got != test.want {
+			t.Errorf("%+v: %s, want %s", test.call, got, test.want)
+		}
+	}
+}
