--- a/internal/policy/quota_test.go
+++ b/internal/policy/quota_test.go
@@ -1,20 +1,20 @@
 package policy_test
 
 import (
-	"fmt"
-	"swiftpitch/internal/policy"
 	"testing"
 	"time"
+
+	"swiftpitch/internal/policy"
 )
 
-func TestStartingSliceIsEvenShare(t *testing.T) {
+func TestInitialAllocationIsAnEvenShare(t *testing.T) {
 	// Burst 8 over 3 gateways: 2.67 units, two requests of one unit.
 	if k := newRig(t, settings(), 6).admitted(8, 0, 1); k < 2 || k > 4 {
-		t.Errorf("a new customer got %d units at once of a burst of 8 shared by 3", k)
+		t.Errorf("a new tenant got %d units at once of a burst of 8 shared by 3", k)
 	}
 }
 
-// steady offers 5 units an interval of 2 s and returns the units sent on over the last 20 s.
+// steady offers 5 units an interval of 2 s and returns the units admitted over the last 20 s.
 func steady(r *rig, reply func(policy.AddToCounter) policy.CounterReplied) (k int) {
 	for i := range 100 {
 		r.run(400*ms, reply)
@@ -25,34 +25,32 @@
 	return k
 }
 
-func TestThrottledSliceFollowsDemandShare(t *testing.T) {
-	// M·τ = 4·2 = 8. Vi = 5 of Vtotal = 10: Ni = 5/10·8 = 4 an interval, 40 in 20 s.
+func TestAllocationFollowsTheDemandShareOverQuota(t *testing.T) {
+	// The quota of an interval is 4·2 = 8. Local demand 5 of fleet demand 10: 5/10·8 = 4 an interval, 40 in 20 s.
 	if k := steady(newRig(t, settings(), 6), totals(10)); k < 37 || k > 43 {
 		t.Errorf("half of the demand got %d of 80 units, want about 40", k)
 	}
-	// Vi = 5 of Vtotal = 20 falls to 5/20·8 = 2, above the floor of 0.7·8/3 = 1.87: 20 in 20 s.
+	// 5 of 20 falls to 5/20·8 = 2, above the floor of 0.7·8/3 = 1.87: 20 in 20 s.
 	if k := steady(newRig(t, settings(), 6), totals(20)); k < 17 || k > 23 {
 		t.Errorf("a quarter of the demand got %d of 80 units, want about 20", k)
 	}
 }
 
-func TestUnthrottledPassesLastDemand(t *testing.T) {
+func TestWithinQuotaTheLastDemandIsAdmitted(t *testing.T) {
 	if k := steady(newRig(t, settings(), 6), totals(6)); k < 49 {
-		t.Errorf("below the quota %d of 50 units were sent on", k)
+		t.Errorf("below the quota %d of 50 units were admitted", k)
 	}
 }
 
-func TestMuteOrEmptiedCounterKeepsTheSlice(t *testing.T) {
+func TestMuteOrEmptiedCounterKeepsTheAllocation(t *testing.T) {
 	for name, reply := range map[string]func(policy.AddToCounter) policy.CounterReplied{
-		"mute": func(c policy.AddToCounter) policy.CounterReplied {
-			return policy.CounterReplied{Key: c.Key, Outcome: policy.TimedOut}
-		},
+		"mute":    failing(policy.TimedOut),
 		"emptied": totals(0),
 	} {
 		r := newRig(t, settings(), 6)
 		steady(r, totals(20))
 		if k := steady(r, reply); k > 24 {
-			t.Errorf("%s: %d of 80 units sent on, the last slice was 20", name, k)
+			t.Errorf("%s: %d of 80 units admitted, the last allocation was 20", name, k)
 		}
 	}
 }
@@ -61,27 +59,26 @@
 	r := newRig(t, settings(), 6)
 	r.admitted(2, 0, 1)
 	var calls []policy.AddToCounter
+	overloaded := failing(policy.Overloaded)
 	r.run(2500*ms, func(c policy.AddToCounter) policy.CounterReplied {
 		calls = append(calls, c)
-		return policy.CounterReplied{Key: c.Key, Outcome: policy.Overloaded}
+		return overloaded(c)
 	})
 	if len(calls) != 2 || calls[0].Units != 2 || calls[1] != calls[0] {
 		t.Errorf("calls %v: want the read to add what the add did not", calls)
 	}
 }
 
-func TestCeilingAlsoAfterRestart(t *testing.T) {
-	// Whatever earlier lives spent, each new life starts with nothing of the ceiling: it finds their
-	// traces at the counter, and where the counter is mute it takes them to be there.
+func TestHardLimitAlsoAfterRestart(t *testing.T) {
+	// Whatever earlier incarnations spent, each new one starts with nothing of the hard limit: it finds their
+	// record at the counter, and where the counter is mute it takes the record to be there.
 	units, counter := 0, numbers{}
-	for life := range 5 {
+	for incarnation := range 5 {
 		reply := counter.add
-		if life == 3 {
-			reply = func(c policy.AddToCounter) policy.CounterReplied {
-				return policy.CounterReplied{Key: c.Key, Outcome: policy.Overloaded}
-			}
+		if incarnation == 3 {
+			reply = failing(policy.Overloaded)
 		}
-		r := rigAt(t, time.Duration(1000+2*life)*time.Second, settings(), 6)
+		r := rigAt(t, time.Duration(1000+2*incarnation)*time.Second, settings(), 6)
 		for range 20 {
 			units += r.admitted(2, 2, 9)
 			r.run(100*ms, reply)
@@ -89,22 +86,22 @@
 	}
 	// One of three gateways, 10 s: a third of burst and tolerance, and of the rate.
 	if most := 5 + 2*10; units > most {
-		t.Errorf("%d units over five lives, at most %d are this gateway's share", units, most)
+		t.Errorf("%d units over five incarnations, at most %d are this gateway's share", units, most)
 	}
 	if units == 0 {
-		t.Error("nothing was sent on at all")
+		t.Error("nothing was admitted at all")
 	}
 }
 
-func TestFirstLifeHasItsShareOfTheCeiling(t *testing.T) {
-	// With no trace of an earlier life the share is there at once, not only after its refill.
+func TestFirstIncarnationHasItsShareOfTheHardLimit(t *testing.T) {
+	// With no record of an earlier incarnation the share is there at once, not only after its refill.
 	r, counter := newRig(t, settings(), 6), numbers{}
 	r.admitted(1, 2, 9)
 	r.run(50*ms, counter.add)
 	if units := r.admitted(20, 2, 9); units < 4 {
 		t.Errorf("%d units admitted, the share holds 4.9 of burst and tolerance", units)
 	}
-	// Traces go on through changes of their name: a life that follows a long one finds them.
+	// The record goes on through changes of its key: an incarnation that follows a long one finds it.
 	r.run(65*time.Second, counter.add)
 	r = rigAt(t, r.now+time.Second, settings(), 6)
 	units := r.admitted(1, 2, 9)
@@ -114,27 +111,21 @@
 	}
 }
 
-func TestRepeatsLeaveTheStoreToFirstTries(t *testing.T) {
-	// Found on quiet days: late repeats used up what first tries then lacked.
+func TestRetriesLeaveTheTokensToFirstTries(t *testing.T) {
+	// Found on quiet days: late retries used up what first tries then lacked.
 	r := newRig(t, settings(), 6)
-	repeat := func() bool {
-		r.serial++
-		id := fmt.Sprintf("%016x", r.serial)
-		as := r.step(policy.RequestReceived{RequestID: id, Tenant: 1, Timeout: time.Second, Units: 1, TenantGateways: 3, IsRetry: true})
-		for _, s := range sent(as) {
-			r.pass(id, s)
-			return true
-		}
-		return false
+	retryAdmitted := func() bool {
+		_, as := r.receive(policy.RequestReceived{Tenant: 1, Timeout: time.Second, Units: 1, TenantGateways: 3, IsRetry: true})
+		return r.passAll(sent(as)) > 0
 	}
-	if !repeat() {
-		t.Error("a repeat was refused by a full store")
+	if !retryAdmitted() {
+		t.Error("a retry was rejected by a full token bucket")
 	}
-	if repeat() {
-		t.Error("a repeat was let in by a store that is partly used")
+	if retryAdmitted() {
+		t.Error("a retry was admitted by a token bucket that is partly used")
 	}
 	if r.admitted(1, 0, 1) != 1 {
-		t.Error("a first try was refused by the same store")
+		t.Error("a first try was rejected by the same token bucket")
 	}
 }
 
@@ -151,27 +142,28 @@
 		}
 		return k
 	}
-	if well, failing := calls(policy.Succeeded), calls(policy.Overloaded); failing*2 > well || failing == 0 {
-		t.Errorf("%d calls in 40 s while they fail, %d while they pass", failing, well)
+	succeeding, overloaded := calls(policy.Succeeded), calls(policy.Overloaded)
+	if overloaded*2 > succeeding || overloaded == 0 {
+		t.Errorf("%d calls in 40 s while they fail, %d while they succeed", overloaded, succeeding)
 	}
 }
 
-func TestCapOnAttemptsOut(t *testing.T) {
-	// Open 3 over 3 gateways: one attempt out here.
+func TestLimitOnConcurrentAttempts(t *testing.T) {
+	// 3 concurrent attempts over 3 gateways: one in flight here.
 	r := newRig(t, settings(), 6)
 	id, as := r.arrive(0, 3, 5, 1)
 	first := sent(as)
 	if _, as := r.arrive(0, 3, 5, 1); len(first) != 1 || !has[policy.Reject](as) {
-		t.Fatal("want one attempt out and the next request refused")
+		t.Fatal("want one attempt in flight and the next request rejected")
 	}
 	r.pass(id, first[0])
 	if _, as := r.arrive(0, 3, 5, 1); len(sent(as)) != 1 {
-		t.Error("refused though nothing is out")
+		t.Error("rejected though nothing is in flight")
 	}
 }
 
-func TestTrueUnitsAreTakenFromTheSlice(t *testing.T) {
-	// A third of the burst of 8 is 2.67; a guess of 1 that truly was 3 leaves less than nothing.
+func TestActualUnitsAreTakenFromTheAllocation(t *testing.T) {
+	// A third of the burst of 8 is 2.67; an estimate of 1 that truly was 3 leaves less than nothing.
 	for units, want := range map[float64]int{1: 1, 3: 0} {
 		set := settings()
 		set.ActualUnitsReported = true
@@ -180,13 +172,13 @@
 		r.step(policy.AttemptEnded{RequestID: id, Endpoint: sent(as)[0].Endpoint, Outcome: policy.Succeeded, Latency: 20 * ms, RequestDone: true,
 			ActualUnits: units})
 		if k := r.admitted(1, 0, 1); k != want {
-			t.Errorf("after %v true units %d requests let in, want %d", units, k, want)
+			t.Errorf("after %v actual units %d requests admitted, want %d", units, k, want)
 		}
 	}
 }
 
-func TestSlowCounterStillGivesTheSlice(t *testing.T) {
-	// The adds are answered too late, yet they arrived, and the reads tell the sum.
+func TestSlowCounterStillGivesTheAllocation(t *testing.T) {
+	// The adds are answered too late, yet they arrived, and the reads tell the total.
 	r := newRig(t, settings(), 6)
 	k := steady(r, func(c policy.AddToCounter) policy.CounterReplied {
 		if c.Units > 0 {
@@ -209,41 +201,50 @@
 		k += r.admitted(1, 0, 1)
 	}
 	if len(r.counts) > 0 || k < 25 || k > 31 {
-		t.Errorf("%d units sent on with %d calls, want about 29 and none", k, len(r.counts))
+		t.Errorf("%d units admitted with %d calls, want about 29 and none", k, len(r.counts))
 	}
 }
 
-func TestUsedUpSliceBorrowsFromTheRunningSum(t *testing.T) {
-	// A slice that is used up while the others' demand is low: one call tells whether the quota has room.
-	for _, k := range []struct {
-		others float64
+func TestUsedUpAllocationAsksForSpareQuota(t *testing.T) {
+	// An allocation that is used up while the others' demand is low: one call tells whether the quota has spare.
+	for _, test := range []struct {
+		name   string
+		others float64 // units that the other gateways added to the running total
 		reply  policy.Outcome
 		want   bool
-	}{{0, policy.Succeeded, true}, {100, policy.Succeeded, false}, {0, policy.TimedOut, false}} {
-		set := settings()
-		set.Plans[0] = policy.Plan{Rate: 10, Burst: 20, PriorityWeight: 1}
-		r, counter := newRig(t, set, 6), numbers{}
-		for range 40 { // well under the quota, by the sums as well
-			r.admitted(1, 0, 9)
-			r.run(500*ms, counter.add)
-		}
-		for i := 0; ; i++ {
-			id, as := r.arrive(0, 0, 9, 1)
-			for _, s := range sent(as) {
-				r.pass(id, s)
-			}
-			if len(sent(as)) > 0 && i < 40 {
-				continue
-			}
-			if has[policy.Reject](as) || !has[policy.AddToCounter](as) {
-				t.Fatalf("try %d: no call before a refusal: %v", i, as)
+	}{
+		{"the others left all", 0, policy.Succeeded, true},
+		{"the others used all", 100, policy.Succeeded, false},
+		{"the counter is mute", 0, policy.TimedOut, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			set := settings()
+			set.Plans[0] = policy.Plan{Rate: 10, Burst: 20, PriorityWeight: 1}
+			r, counter := newRig(t, set, 6), numbers{}
+			for range 40 { // well under the quota, by the totals as well
+				r.admitted(1, 0, 9)
+				r.run(500*ms, counter.add)
 			}
-			c := r.counts[len(r.counts)-1]
-			as = r.step(policy.CounterReplied{Key: c.Key, Outcome: k.reply, Total: counter.add(c).Total + k.others})
-			if got := len(sent(as)) > 0; got != k.want {
-				t.Errorf("others' units %v, outcome %d: sent on %v", k.others, k.reply, got)
+			call := callForSpareQuota(t, r)
+			as := r.step(policy.CounterReplied{Key: call.Key, Outcome: test.reply, Total: counter.add(call).Total + test.others})
+			if got := len(sent(as)) > 0; got != test.want {
+				t.Errorf("admitted %v, want %v", got, test.want)
 			}
-			break
+		})
+	}
+}
+
+// callForSpareQuota hands over requests until one is held for a counter call, which it returns.
+func callForSpareQuota(t *testing.T, r *rig) policy.AddToCounter {
+	t.Helper()
+	for i := 0; ; i++ {
+		_, as := r.arrive(0, 0, 9, 1)
+		if r.passAll(sent(as)) > 0 && i < 40 {
+			continue
+		}
+		if has[policy.Reject](as) || !has[policy.AddToCounter](as) {
+			t.Fatalf("request %d: no call before a rejection: %v", i, as)
 		}
+		return r.counts[len(r.counts)-1]
 	}
 }
--- /dev/null
+++ b/internal/policy/sequences_test.go
@@ -0,0 +1,221 @@
+package policy_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"reflect"
+	"testing"
+	"time"
+
+	"swiftpitch/internal/policy"
+)
+
+// TestRandomSequences feeds legal random events and checks the actions with an oracle of its own.
+func TestRandomSequences(t *testing.T) {
+	for seed := range uint64(30) {
+		first, second := playSequence(t, seed), playSequence(t, seed)
+		if !reflect.DeepEqual(first, second) {
+			t.Fatalf("seed %d: the same events gave other actions", seed)
+		}
+	}
+}
+
+// execution is what an attempt's outcome tells of its execution.
+type execution int
+
+const (
+	attemptInFlight execution = iota
+	attemptNeverRan
+	attemptMayHaveRun
+)
+
+// oracleAttempt is an attempt that the gateway started.
+type oracleAttempt struct {
+	endpoint  string
+	startedAt time.Duration
+	expiresAt time.Duration
+	execution execution
+}
+
+// oracleRequest is a request with all its attempts.
+type oracleRequest struct {
+	class    int
+	deadline time.Duration
+	attempts []*oracleAttempt
+	answered bool
+}
+
+// oracle checks every action of one gateway against the rules that bind it.
+type oracle struct {
+	t        *testing.T
+	seed     uint64
+	set      policy.Settings
+	rig      *rig
+	requests map[string]*oracleRequest
+	order    []string // ids in the order of arrival
+	zones    map[string]int
+	draining string // id of the endpoint that takes nothing new
+	actions  []policy.Action
+}
+
+// playSequence plays the random events of a seed and returns all actions.
+func playSequence(t *testing.T, seed uint64) []policy.Action {
+	t.Helper()
+	rng := rand.New(rand.NewPCG(seed, 1))
+	set := settings()
+	set.AllowCancel, set.AllowHedging = seed%2 == 0, seed%3 != 0
+	o := &oracle{t: t, seed: seed, set: set, rig: newRig(t, set, 5),
+		requests: map[string]*oracleRequest{}, zones: map[string]int{}}
+	for i := range 5 {
+		o.zones[server(i).ID] = server(i).Zone
+	}
+	for i := range 1500 {
+		o.check(o.rig.run(time.Duration(rng.IntN(30))*ms, totals(float64(rng.IntN(20)))))
+		if i == 700 {
+			o.drain(server(3))
+		}
+		o.receiveRequest(rng)
+		o.endAttempts(rng)
+	}
+	o.checkAllAnswered()
+	return o.actions
+}
+
+// drain marks an endpoint as draining.
+func (o *oracle) drain(endpoint policy.Endpoint) {
+	endpoint.State = policy.Draining
+	o.draining = endpoint.ID
+	o.check(o.rig.step(policy.EndpointsUpdated{Scope: policy.IncrementalUpdate, Endpoints: []policy.Endpoint{endpoint}}))
+}
+
+// receiveRequest hands over a request of a random class, plan and tenant.
+func (o *oracle) receiveRequest(rng *rand.Rand) {
+	r := o.rig
+	r.serial++
+	id := fmt.Sprintf("%016x", r.serial)
+	timeout := time.Duration(500+rng.IntN(1500)) * ms
+	request := &oracleRequest{class: rng.IntN(4), deadline: r.now + timeout}
+	o.requests[id] = request
+	o.order = append(o.order, id)
+	o.check(r.step(policy.RequestReceived{RequestID: id, Class: request.class, Plan: rng.IntN(4), Tenant: uint64(rng.IntN(6)),
+		Timeout: timeout, Units: float64(1 + rng.IntN(3)), TenantGateways: 3}))
+}
+
+// endAttempts ends the attempts that have expired, and some of the others at random.
+func (o *oracle) endAttempts(rng *rand.Rand) {
+	for _, id := range o.order {
+		request := o.requests[id]
+		for n := 0; n < len(request.attempts); n++ { // the outcome of one may start another
+			attempt := request.attempts[n]
+			expired := o.rig.now >= attempt.expiresAt
+			if attempt.execution != attemptInFlight || !expired && rng.IntN(8) > 0 {
+				continue
+			}
+			outcome := policy.TimedOut
+			if !expired {
+				outcome = policy.Outcome(rng.IntN(6))
+			}
+			o.endAttempt(id, n, outcome)
+		}
+	}
+}
+
+func (o *oracle) endAttempt(id string, n int, outcome policy.Outcome) {
+	request := o.requests[id]
+	attempt := request.attempts[n]
+	attempt.execution = attemptMayHaveRun
+	if outcome == policy.Overloaded || outcome == policy.ConnectFailed {
+		attempt.execution = attemptNeverRan
+	}
+	if outcome == policy.Succeeded {
+		request.answered = true
+	}
+	o.check(o.rig.step(policy.AttemptEnded{RequestID: id, Attempt: n, Endpoint: attempt.endpoint, Outcome: outcome,
+		Latency: o.rig.now - attempt.startedAt, RequestDone: request.answered}))
+}
+
+// check holds the actions of one step against the rules and follows them.
+func (o *oracle) check(actions []policy.Action) {
+	o.t.Helper()
+	o.actions = append(o.actions, actions...)
+	for _, action := range actions {
+		switch action := action.(type) {
+		case policy.StartAttempt:
+			o.checkStart(action)
+		case policy.Reject:
+			o.checkReject(action)
+		case policy.Fail:
+			o.answer(action.RequestID)
+		case policy.CancelAttempt:
+			if !o.set.AllowCancel {
+				o.t.Fatalf("seed %d: cancel is not allowed", o.seed)
+			}
+		}
+	}
+}
+
+func (o *oracle) checkStart(start policy.StartAttempt) {
+	o.t.Helper()
+	request := o.requests[start.RequestID]
+	inFlight := 0
+	for _, earlier := range request.attempts {
+		if earlier.execution == attemptInFlight {
+			inFlight++
+		}
+		if o.mayRunTwice(request, earlier, start.Endpoint) {
+			o.t.Fatalf("seed %d: class %d sent again to %s after %+v", o.seed, request.class, start.Endpoint, *earlier)
+		}
+	}
+	if request.answered || start.Endpoint == o.draining || len(request.attempts) >= o.set.MaxAttempts ||
+		inFlight > 1 || inFlight > 0 && !o.set.AllowHedging {
+		o.t.Fatalf("seed %d: send of %s to %s is not allowed", o.seed, start.RequestID, start.Endpoint)
+	}
+	expiresAt := request.deadline
+	if start.Timeout > 0 {
+		expiresAt = min(expiresAt, o.rig.now+start.Timeout)
+	}
+	request.attempts = append(request.attempts,
+		&oracleAttempt{endpoint: start.Endpoint, startedAt: o.rig.now, expiresAt: expiresAt})
+}
+
+// mayRunTwice reports whether an attempt at an endpoint could run a request a second time that must run once.
+func (o *oracle) mayRunTwice(request *oracleRequest, earlier *oracleAttempt, endpoint string) bool {
+	class := o.set.Classes[request.class]
+	if earlier.execution == attemptNeverRan || class.Idempotency == policy.Idempotent {
+		return false
+	}
+	return class.Idempotency == policy.NonIdempotent || o.rig.now > earlier.startedAt+class.DedupWindow ||
+		class.DedupScope == policy.DedupZone && o.zones[earlier.endpoint] != o.zones[endpoint]
+}
+
+// checkReject checks that a request of which the client is told that it did not run may not have run.
+func (o *oracle) checkReject(reject policy.Reject) {
+	o.t.Helper()
+	request := o.requests[reject.RequestID]
+	class := o.set.Classes[request.class]
+	for _, attempt := range request.attempts {
+		if attempt.execution != attemptNeverRan && (class.Idempotency == policy.NonIdempotent ||
+			class.Idempotency == policy.IdempotentByKey && class.DedupScope != policy.DedupFleet) {
+			o.t.Fatalf("seed %d: class %d rejected after it may have run", o.seed, request.class)
+		}
+	}
+	o.answer(reject.RequestID)
+}
+
+// answer takes the final answer of a request, which must be its only one.
+func (o *oracle) answer(id string) {
+	o.t.Helper()
+	if o.requests[id].answered {
+		o.t.Fatalf("seed %d: two answers", o.seed)
+	}
+	o.requests[id].answered = true
+}
+
+func (o *oracle) checkAllAnswered() {
+	o.t.Helper()
+	for _, id := range o.order {
+		if request := o.requests[id]; !request.answered && o.rig.now > request.deadline+50*ms {
+			o.t.Fatalf("seed %d: %s got no answer", o.seed, id)
+		}
+	}
+}
