--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -19,18 +19,18 @@
 
 // request is a client's request until it has its answer and no attempt is in flight.
 type request struct {
-	id       string
-	class    int
-	kind     *Class
-	customer *customer
-	units    float64
-	held     bool // it took its units from the counter's store
-	aim      Time // an answer later than this is worth little
-	deadline Time // the client gives up
-	attempts []attempt
-	over     bool // it has its final answer
-	streamed bool // its answer has begun to flow to the client
-	repeat   bool // marked by the client as a retry
+	id              string
+	class           int
+	kind            *Class
+	tenant          *tenantState
+	units           float64
+	chargedToBucket bool // its units were taken from the tenant's shared bucket
+	aim             Time // an answer later than this is worth little
+	deadline        Time // the client gives up
+	attempts        []attempt
+	over            bool // it has its final answer
+	streamed        bool // its answer has begun to flow to the client
+	repeat          bool // marked by the client as a retry
 }
 
 // allowsAttemptAt reports whether an attempt at ep does no harm beside the earlier ones:
@@ -98,7 +98,7 @@
 	g.throttle.attemptStarted(g.now)
 	ep.attemptStarted(g.now)
 	ep.inFlight++
-	r.customer.open++
+	r.tenant.inFlight++
 	g.do(StartAttempt{RequestID: r.id, Endpoint: ep.ID, Timeout: r.attemptTimeout(g.now)})
 	g.scheduleHedge(r, expected)
 }
@@ -125,10 +125,10 @@
 	a.inFlight = false
 	a.neverRan = ev.Outcome == Overloaded || ev.Outcome == ConnectFailed || ev.Outcome == NotSent
 	a.endpoint.inFlight--
-	r.customer.open--
+	r.tenant.inFlight--
 	g.learn(r, a, &ev)
 	if ev.Outcome == Succeeded && !r.over && g.set.ActualUnitsReported && ev.ActualUnits > 0 {
-		r.customer.level -= ev.ActualUnits - r.units
+		r.tenant.tokens -= ev.ActualUnits - r.units
 		g.settle(r, ev.ActualUnits)
 	}
 	g.proceed(r, &ev)
