--- a/internal/policy/gateway.go
+++ b/internal/policy/gateway.go
@@ -57,9 +57,9 @@
 		incarnation:   incarnationRecord{gatewayIndex: set.GatewayIndex, startedAt: now},
 		overQuota:     newOverQuotaModel(len(set.Plans)),
 
+		endpoints:   newEndpointSet(set.GatewayIndex),
 		retryBudget: newRetryBudget(),
 	}
-	g.endpoints = newEndpointSet(set.GatewayIndex)
 	g.latencies = newLatencyEstimator(&g.set)
 	g.outliers = newOutlierDetector(&g.set, g.do)
 	g.throttle = newThrottle(&g.set, g.rng)
