--- a/internal/policy/sharedbucket_test.go
+++ b/internal/policy/sharedbucket_test.go
@@ -3,56 +3,56 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"swiftpitch/internal/policy"
 	"testing"
 	"time"
+
+	"swiftpitch/internal/policy"
 )
 
-func TestSmallSharesArePlacedBeforeSending(t *testing.T) {
-	// Of a quota of 8 an interval one of 100 gateways has less than a request: the sum decides, not the slice.
-	place := func(total float64, patience time.Duration) (asked, admitted int) {
+// sharedBucketRequest is a request of one unit of a tenant that 100 gateways share: of the quota of 8 an interval,
+// one gateway has less than a request.
+func sharedBucketRequest(tenant uint64, timeout time.Duration) policy.RequestReceived {
+	return policy.RequestReceived{Tenant: tenant, Timeout: timeout, Units: 1, TenantGateways: 100}
+}
+
+func TestSmallSharesAreDecidedByTheSharedBucket(t *testing.T) {
+	// Of a quota of 8 an interval one of 100 gateways has less than a request: the total decides, not an allocation.
+	decide := func(total float64, timeout time.Duration) (asked, admitted int) {
 		set := settings()
 		set.Plans[0].OverQuotaCost, set.CounterTimeout = 1, 400*ms
 		r := newRig(t, set, 6)
 		for i := range 40 {
-			r.serial++
-			id := fmt.Sprintf("%016x", r.serial)
-			as := r.step(policy.RequestReceived{RequestID: id, Tenant: uint64(i), Timeout: patience, Units: 1, TenantGateways: 100})
+			_, as := r.receive(sharedBucketRequest(uint64(i), timeout))
 			if has[policy.AddToCounter](as) {
 				asked++
-				if len(sent(as)) > 0 && patience > time.Second {
-					t.Error("sent before the sum was read")
+				if len(sent(as)) > 0 && timeout > time.Second {
+					t.Error("forwarded before the total was read")
 				}
 				c := r.counts[len(r.counts)-1]
 				as = append(as, r.step(policy.CounterReplied{Key: c.Key, Total: total * c.Units})...)
 			}
-			for _, s := range sent(as) {
-				admitted++
-				r.pass(id, s)
-			}
+			admitted += r.passAll(sent(as))
 		}
 		return asked, admitted
 	}
-	if asked, admitted := place(1, 2*time.Second); asked < 10 || admitted != 40 {
-		t.Errorf("%d asked, %d of 40 admitted by an empty quota", asked, admitted)
+	if asked, admitted := decide(1, 2*time.Second); asked < 10 || admitted != 40 {
+		t.Errorf("%d asked, %d of 40 admitted by an unused quota", asked, admitted)
 	}
-	if asked, admitted := place(1000, 2*time.Second); admitted > 40-asked {
-		t.Errorf("%d asked, %d of 40 admitted beyond the quota", asked, admitted)
+	if asked, admitted := decide(1000, 2*time.Second); admitted > 40-asked {
+		t.Errorf("%d asked, %d of 40 admitted over the quota", asked, admitted)
 	}
-	if _, admitted := place(1000, 700*ms); admitted == 0 {
-		t.Error("near the client's deadline a try must not wait for the counter")
+	if _, admitted := decide(1000, 700*ms); admitted == 0 {
+		t.Error("near the client's deadline a request must not wait for the counter")
 	}
 }
 
-func TestLateAnswersOfTheCounterHoldNoTry(t *testing.T) {
-	// The caller may wait for the counter for longer than CountWait; a try is held no longer than that, and a
-	// sum that comes later decides it no more.
+func TestLateRepliesOfTheCounterHoldNoRequest(t *testing.T) {
+	// The caller may wait for the counter for longer than CounterTimeout; a request is held no longer than that, and
+	// a total that comes later decides it no more.
 	r := newRig(t, settings(), 6)
 	held := 0
 	for i := range 40 {
-		r.serial++
-		id := fmt.Sprintf("%016x", r.serial)
-		as := r.step(policy.RequestReceived{RequestID: id, Tenant: uint64(i), Timeout: 2 * time.Second, Units: 1, TenantGateways: 100})
+		_, as := r.receive(sharedBucketRequest(uint64(i), 2*time.Second))
 		if len(sent(as)) > 0 || has[policy.Reject](as) {
 			continue
 		}
@@ -60,54 +60,52 @@
 		c := r.counts[len(r.counts)-1]
 		as = r.run(30*ms, nil)
 		if len(sent(as)) == 0 && !has[policy.Reject](as) {
-			t.Fatal("a try is still held after CountWait")
+			t.Fatal("a request is still held after CounterTimeout")
 		}
 		if as = r.step(policy.CounterReplied{Key: c.Key, Total: 1}); len(sent(as)) > 0 || has[policy.Reject](as) {
-			t.Fatal("a try is decided twice")
+			t.Fatal("a request is decided twice")
 		}
 	}
 	if held == 0 {
-		t.Error("no try was held at all")
+		t.Error("no request was held at all")
 	}
 }
 
-func TestNoTryIsHeldAfterAStandstill(t *testing.T) {
-	// Found on milano big-2: the backlog of a gateway that stood still was held past the clients' deadlines.
+func TestNoRequestIsHeldAfterAStall(t *testing.T) {
+	// Found on milano big-2: the backlog of a gateway that had stalled was held past the clients' deadlines.
 	r := newRig(t, settings(), 6)
 	r.run(time.Second, totals(0))
 	r.now += 2 * time.Second // events come late
 	for i := range 20 {
-		r.serial++
-		as := r.step(policy.RequestReceived{RequestID: fmt.Sprintf("%016x", r.serial), Tenant: uint64(i), Timeout: time.Second,
-			Units: 1, TenantGateways: 100})
+		_, as := r.receive(sharedBucketRequest(uint64(i), time.Second))
 		if len(sent(as)) == 0 && !has[policy.Reject](as) {
-			t.Fatal("a try is held by a gateway that stands still now and then")
+			t.Fatal("a request is held by a gateway that stalls now and then")
 		}
 	}
 }
 
-// fleet offers a customer's requests of one unit, times the quota of 4 a second, through spread gateways for
-// 40 s before a shared counter, of whose calls a part is turned away, and returns the units sent on.
-func fleet(t *testing.T, spread int, times float64, away float64) (k float64) {
+// fleet offers a tenant's requests of one unit, at times the quota of 4 a second, through a number of gateways for
+// 40 s before a shared counter, which rejects a part of their calls, and returns the units admitted.
+func fleet(t *testing.T, gateways int, times float64, rejected float64) (k float64) {
+	t.Helper()
 	set := settings()
-	set.Gateways, set.Plans[0].OverQuotaCost = spread, 1
-	rng := rand.New(rand.NewPCG(3, uint64(spread)))
+	set.Gateways, set.Plans[0].OverQuotaCost = gateways, 1
+	rng := rand.New(rand.NewPCG(3, uint64(gateways)))
 	var rigs []*rig
-	for i := range spread {
+	for i := range gateways {
 		set.GatewayIndex, set.Seed = i, uint64(i)
 		rigs = append(rigs, newRig(t, set, 6))
 	}
-	sums, now := map[uint64]float64{}, 1000*time.Second
+	counter, now := numbers{}, 1000*time.Second
 	reply := func(c policy.AddToCounter) policy.CounterReplied {
-		if rng.Float64() < away {
+		if rng.Float64() < rejected {
 			return policy.CounterReplied{Key: c.Key, Outcome: policy.Overloaded}
 		}
-		sums[c.Key] += c.Units
-		return policy.CounterReplied{Key: c.Key, Total: sums[c.Key]}
+		return counter.add(c)
 	}
 	for i := range int(160 * times) {
 		at := 1000*time.Second + time.Duration(float64(i)/(4*times)*1e9)
-		for now < at { // in steps shorter than the grace, so that adds come before reads
+		for now < at { // in steps shorter than CounterTimeout, so that adds come before reads
 			now = min(now+20*ms, at)
 			for _, r := range rigs {
 				if r.now < now {
@@ -115,65 +113,62 @@
 				}
 			}
 		}
-		r := rigs[rng.IntN(spread)]
-		r.serial++
-		id := fmt.Sprintf("%016x", r.serial)
-		as := r.step(policy.RequestReceived{RequestID: id, Tenant: 1, Timeout: 2 * time.Second, Units: 1, TenantGateways: spread})
-		for _, s := range sent(append(as, r.run(ms, reply)...)) {
-			k++
-			r.pass(id, s)
-		}
+		r := rigs[rng.IntN(gateways)]
+		_, as := r.receive(policy.RequestReceived{Tenant: 1, Timeout: 2 * time.Second, Units: 1, TenantGateways: gateways})
+		k += float64(r.passAll(sent(append(as, r.run(ms, reply)...))))
 	}
 	return k
 }
 
-func TestFleetKeepsTheQuotaAtAnySpread(t *testing.T) {
-	// The burst of 8 is far below the largest spreads. 40 s at 4 units a second and the burst are 168 units;
-	// half more is for tries that are not placed, at gateways that know nothing of the customer yet.
-	for _, spread := range []int{1, 3, 100, 277} {
-		if k := fleet(t, spread, 3, 0); k < 120 || k > 252 {
-			t.Errorf("spread %d: %v units sent on where the quota is 168", spread, k)
-		}
-		if k := fleet(t, spread, 0.4, 0); k < 50 {
-			t.Errorf("spread %d: %v of 64 units sent on well inside the quota", spread, k)
-		}
+func TestFleetKeepsTheQuotaOverAnyNumberOfGateways(t *testing.T) {
+	// The burst of 8 is far below the largest numbers. 40 s at 4 units a second and the burst are 168 units; half
+	// more is for uncoordinated decisions, at gateways that know nothing of the tenant yet.
+	for _, gateways := range []int{1, 3, 100, 277} {
+		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
+			if k := fleet(t, gateways, 3, 0); k < 120 || k > 252 {
+				t.Errorf("%v units admitted where the quota is 168", k)
+			}
+			if k := fleet(t, gateways, 0.4, 0); k < 50 {
+				t.Errorf("%v of 64 units admitted well inside the quota", k)
+			}
+		})
 	}
 }
 
-func TestCounterThatTurnsMostCallsAway(t *testing.T) {
-	for _, spread := range []int{3, 100} {
-		if k := fleet(t, spread, 3, 0.8); k < 80 || k > 420 {
-			t.Errorf("spread %d: %v units of 480 sent on where the quota is 168", spread, k)
+func TestCounterThatRejectsMostCalls(t *testing.T) {
+	for _, gateways := range []int{3, 100} {
+		if k := fleet(t, gateways, 3, 0.8); k < 80 || k > 420 {
+			t.Errorf("%d gateways: %v units of 480 admitted where the quota is 168", gateways, k)
 		}
 	}
 }
 
-func TestTrueUnitsSettleThePlacedTries(t *testing.T) {
+func TestActualUnitsSettleTheSharedBucket(t *testing.T) {
 	for units, want := range map[float64]float64{1: 1, 3: 3} {
 		set := settings()
 		set.ActualUnitsReported, set.Plans[0].OverQuotaCost = true, 1
-		r := newRig(t, set, 6)
-		counter := numbers{}
-		r.step(policy.RequestReceived{RequestID: "a", Tenant: 1, Timeout: 2 * time.Second, Units: 1, TenantGateways: 100})
-		for _, s := range sent(r.run(ms, counter.add)) {
-			r.step(policy.AttemptEnded{RequestID: s.RequestID, Endpoint: s.Endpoint, Outcome: policy.Succeeded, Latency: 20 * ms, RequestDone: true, ActualUnits: units})
-		}
-		r.run(ms, counter.add)
-		held := 0.0
-		for _, n := range counter {
-			held = max(held, n)
-		}
-		// The number also holds what had refilled a full store before the try.
-		r2 := newRig(t, set, 6)
-		before := numbers{}
-		r2.step(policy.RequestReceived{RequestID: "a", Tenant: 1, Timeout: 2 * time.Second, Units: 1, TenantGateways: 100})
-		r2.run(ms, before.add)
-		base := 0.0
-		for _, n := range before {
-			base = max(base, n)
+		// largest returns the largest number of the counter, which holds the bucket, after one request.
+		largest := func(end func(r *rig, counter numbers, attempts []policy.StartAttempt)) float64 {
+			r, counter := newRig(t, set, 6), numbers{}
+			r.receive(sharedBucketRequest(1, 2*time.Second))
+			end(r, counter, sent(r.run(ms, counter.add)))
+			most := 0.0
+			for _, n := range counter {
+				most = max(most, n)
+			}
+			return most
 		}
-		if got := held - base + 1; got < want-1e-6 || got > want+1e-6 {
-			t.Errorf("a guess of 1 that truly was %v took %v units of the store", units, got)
+		settled := largest(func(r *rig, counter numbers, attempts []policy.StartAttempt) {
+			for _, s := range attempts {
+				r.step(policy.AttemptEnded{RequestID: s.RequestID, Endpoint: s.Endpoint, Outcome: policy.Succeeded,
+					Latency: 20 * ms, RequestDone: true, ActualUnits: units})
+			}
+			r.run(ms, counter.add)
+		})
+		// The number also holds what had refilled a full bucket before the request.
+		unsettled := largest(func(*rig, numbers, []policy.StartAttempt) {})
+		if got := settled - unsettled + 1; got < want-1e-6 || got > want+1e-6 {
+			t.Errorf("an estimate of 1 that truly was %v took %v units of the bucket", units, got)
 		}
 	}
 }
