--- a/internal/policy/incarnation.go
+++ b/internal/policy/incarnation.go
@@ -16,7 +16,7 @@
 	gatewayIndex int
 	startedAt    Time
 	requested    bool // loading has begun
-	none         bool // the counter holds no record of an earlier incarnation
+	first        bool // the counter holds no record of an earlier incarnation
 }
 
 // key is the record's counter key in the epoch of a time, or in one of the epochs before.
@@ -47,7 +47,7 @@
 			g.loadIncarnationRecord(1)
 			return
 		case reply.Total == 0:
-			g.incarnation.none = true
+			g.incarnation.first = true
 			for _, t := range g.tenants {
 				t.hardLimit.release()
 			}
--- a/internal/policy/tenant.go
+++ b/internal/policy/tenant.go
@@ -79,7 +79,7 @@
 	t.updateAllocation()
 	t.tokens = t.tokenCapacity()
 	t.hardLimit = newHardLimitShare(plan, t.gateways, t.usesSharedBucket())
-	if !g.incarnation.none {
+	if !g.incarnation.first {
 		t.hardLimit.withhold(g.now-g.incarnation.startedAt, t.usesSharedBucket())
 	}
 	return t
