--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -27,14 +27,19 @@
 		if resp, _ := c.ask(clientRequest("lookup", fmt.Sprintf("%016x", i))); resp.StatusCode != http.StatusOK {
 			t.Fatalf("connection %d: status %d", i, resp.StatusCode)
 		}
+		// The tracker learns only after the client has its answer that the connection is
+		// idle. The next connection waits for that, so that they become idle in order.
+		eventually(t, fmt.Sprintf("connection %d idle", i), func() bool { return r.node.clients.Stats().Idle == min(i+1, 3) })
 	}
 	all[0].SetReadDeadline(time.Now().Add(patience / 4))
 	if _, err := all[0].br.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the connection idle for longest is still open: %v", err)
 	}
-	all[1].SetReadDeadline(time.Now().Add(10 * time.Millisecond))
-	if _, err := all[1].br.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("another connection: %v", err)
+	for i, c := range all[1:] {
+		c.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
+		if _, err := c.br.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("another connection, %d: %v", i+1, err)
+		}
 	}
 }
 
