--- a/internal/policy/latency.go
+++ b/internal/policy/latency.go
@@ -21,17 +21,17 @@
 // time, which is the latency for each position in the endpoint's queue, and each
 // endpoint's slowness relative to that.
 type latencyEstimator struct {
-	settings    *Settings
-	serviceTime []float64 // by class, seconds
-	samples     []float64 // by class: answers that serviceTime was learned from
-	usual       float64   // usual latency of an answer of any class, seconds
+	serviceTime    []float64 // by class, seconds
+	samples        []float64 // by class: answers that serviceTime was learned from
+	usual          float64   // usual latency of an answer of any class, seconds
+	attemptsPerOwn float64   // at an endpoint, for each attempt of ours: with many gateways several
 }
 
 func newLatencyEstimator(settings *Settings) latencyEstimator {
 	e := latencyEstimator{
-		settings:    settings,
-		serviceTime: make([]float64, len(settings.Classes)),
-		samples:     make([]float64, len(settings.Classes)),
+		serviceTime:    make([]float64, len(settings.Classes)),
+		samples:        make([]float64, len(settings.Classes)),
+		attemptsPerOwn: max(1, float64(settings.Gateways)/fewGateways),
 	}
 	for i, class := range settings.Classes {
 		e.serviceTime[i] = class.LatencyObjective.Seconds() / initialServiceTimeDivisor
@@ -74,9 +74,9 @@
 }
 
 // queuePosition guesses the attempts at an endpoint, one more included, where this gateway
-// has some in flight: with many gateways each of them stands for several.
+// has some in flight.
 func (e *latencyEstimator) queuePosition(inFlight int) float64 {
-	return float64(inFlight)*max(1, float64(e.settings.Gateways)/fewGateways) + 1 + otherAttempts
+	return float64(inFlight)*e.attemptsPerOwn + 1 + otherAttempts
 }
 
 // observe learns from the outcome of an attempt that took latency seconds.
