--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -17,25 +17,34 @@
 	g.scheduleHedge(r, expected)
 }
 
+// findAttempt returns an attempt and its request; nil if there is no such attempt, or it
+// is forgotten. The attempt is valid until the next one of its request starts.
+func (g *Gateway) findAttempt(requestID string, number int) (*request, *attempt) {
+	r := g.requests[requestID]
+	if r == nil || number < 0 || number >= len(r.attempts) {
+		return nil, nil
+	}
+	return r, &r.attempts[number]
+}
+
 // responseStarted handles an answer that has begun to flow to the client: it alone goes on.
 func (g *Gateway) responseStarted(ev ResponseStarted) {
-	r := g.requests[ev.RequestID]
-	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) {
+	r, a := g.findAttempt(ev.RequestID, ev.Attempt)
+	if a == nil {
 		return
 	}
 	r.responseStarted = true
-	r.attempts[ev.Attempt].endpoint.answered()
+	a.endpoint.answered()
 	g.cancelAttemptsExcept(r, ev.Attempt)
 }
 
 // attemptEnded handles an attempt's outcome: it learns from it, and the request has its
 // answer or goes on elsewhere.
 func (g *Gateway) attemptEnded(ev AttemptEnded) {
-	r := g.requests[ev.RequestID]
-	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].inFlight {
+	r, a := g.findAttempt(ev.RequestID, ev.Attempt)
+	if a == nil || !a.inFlight {
 		return
 	}
-	a := &r.attempts[ev.Attempt]
 	a.inFlight = false
 	a.neverRan = ev.Outcome == Overloaded || ev.Outcome == ConnectFailed || ev.Outcome == NotSent
 	a.endpoint.inFlight--
