--- a/internal/policy/attempt_test.go
+++ b/internal/policy/attempt_test.go
@@ -2,140 +2,153 @@
 
 import (
 	"fmt"
-	"swiftpitch/internal/policy"
 	"testing"
 	"time"
+
+	"swiftpitch/internal/policy"
 )
 
-func TestOnceIsNotSentTwiceNorRefusedAfterItMayHaveRun(t *testing.T) {
-	for _, o := range []policy.Outcome{policy.ServerError, policy.ConnectionLost, policy.TimedOut, policy.Canceled} {
+func TestNonIdempotentIsNeitherRetriedNorRejectedAfterItMayHaveRun(t *testing.T) {
+	for _, outcome := range []policy.Outcome{policy.ServerError, policy.ConnectionLost, policy.TimedOut, policy.Canceled} {
 		r := newRig(t, settings(), 6)
-		id, as := r.arrive(2, 1, 1, 1)
-		as = r.step(policy.AttemptEnded{RequestID: id, Endpoint: sent(as)[0].Endpoint, Outcome: o, Latency: ms})
-		if len(sent(as)) > 0 || has[policy.Reject](as) || !has[policy.Fail](as) {
-			t.Errorf("outcome %d: %v, want a failure alone", o, as)
+		id, actions := r.arrive(2, 1, 1, 1)
+		actions = r.step(policy.AttemptEnded{RequestID: id, Endpoint: sent(actions)[0].Endpoint, Outcome: outcome, Latency: ms})
+		if len(sent(actions)) > 0 || has[policy.Reject](actions) || !has[policy.Fail](actions) {
+			t.Errorf("outcome %d: %v, want a failure alone", outcome, actions)
 		}
 	}
-	for _, o := range []policy.Outcome{policy.Overloaded, policy.ConnectFailed} {
+	for _, outcome := range []policy.Outcome{policy.Overloaded, policy.ConnectFailed} {
 		r := newRig(t, settings(), 6)
-		id, as := r.arrive(2, 1, 1, 1)
-		as = r.step(policy.AttemptEnded{RequestID: id, Endpoint: sent(as)[0].Endpoint, Outcome: o, Latency: ms})
-		if len(sent(as)) != 1 {
-			t.Errorf("outcome %d: %v, want another attempt: it never ran", o, as)
+		id, actions := r.arrive(2, 1, 1, 1)
+		actions = r.step(policy.AttemptEnded{RequestID: id, Endpoint: sent(actions)[0].Endpoint, Outcome: outcome, Latency: ms})
+		if len(sent(actions)) != 1 {
+			t.Errorf("outcome %d: %v, want a retry: it never ran", outcome, actions)
 		}
 	}
 }
 
-func TestKeyedStaysInItsZoneAndWindow(t *testing.T) {
-	zone := map[string]int{}
+func TestIdempotentByKeyStaysInItsZoneAndWindow(t *testing.T) {
+	zones := map[string]int{}
 	for i := range 6 {
-		zone[server(i).ID] = server(i).Zone
+		zones[server(i).ID] = server(i).Zone
 	}
 	for seed := range uint64(20) {
 		set := settings()
 		set.Seed = seed
 		r := newRig(t, set, 6)
-		id, as := r.arrive(1, 1, 1, 1)
-		first := sent(as)[0].Endpoint
-		as = r.step(policy.AttemptEnded{RequestID: id, Endpoint: first, Outcome: policy.ServerError, Latency: ms})
-		for _, s := range sent(as) {
-			if zone[s.Endpoint] != zone[first] {
-				t.Fatal("a keyed request that may have run left its zone")
+		id, actions := r.arrive(1, 1, 1, 1)
+		first := sent(actions)[0].Endpoint
+		actions = r.step(policy.AttemptEnded{RequestID: id, Endpoint: first, Outcome: policy.ServerError, Latency: ms})
+		for _, attempt := range sent(actions) {
+			if zones[attempt.Endpoint] != zones[first] {
+				t.Fatal("a request that may have run, idempotent by its key, left its zone")
 			}
 		}
-		if has[policy.Reject](as) {
-			t.Fatal("refused though a repeat elsewhere may run it twice")
+		if has[policy.Reject](actions) {
+			t.Fatal("rejected though a retry elsewhere may run it twice")
 		}
 	}
 }
 
-func TestStartedStreamIsLeftAlone(t *testing.T) {
+func TestStartedResponseIsLeftAlone(t *testing.T) {
 	set := settings()
 	set.Classes[0].Streaming = true
 	r := newRig(t, set, 6)
-	id, as := r.arrive(0, 1, 1, 1)
-	first := sent(as)[0]
+	id, actions := r.arrive(0, 1, 1, 1)
+	first := sent(actions)[0]
 	if first.Timeout != 0 {
-		t.Errorf("a streamed attempt has a time-out of %v", first.Timeout)
+		t.Errorf("an attempt with a streamed response has a timeout of %v", first.Timeout)
 	}
 	r.step(policy.ResponseStarted{RequestID: id, Endpoint: first.Endpoint, Latency: 20 * ms})
-	if as := r.run(10*time.Second, totals(0)); len(sent(as)) > 0 {
-		t.Error("a copy was sent of a stream that had started")
+	if actions := r.run(10*time.Second, totals(0)); len(sent(actions)) > 0 {
+		t.Error("a hedged attempt after the response had started")
 	}
-	if as := r.step(policy.ClientDisconnected{RequestID: id}); has[policy.CancelAttempt](as) {
-		t.Error("a started stream was called off")
+	if actions := r.step(policy.ClientDisconnected{RequestID: id}); has[policy.CancelAttempt](actions) {
+		t.Error("an attempt was canceled though its response had started")
 	}
 }
 
-func TestNoCopyWhileServersTellThatTheyAreBusy(t *testing.T) {
+func TestNoHedgedAttemptWhileEndpointsReportThatTheyAreBusy(t *testing.T) {
 	for _, c := range []struct {
-		busy   float64
-		copies bool
+		utilization float64
+		hedges      bool
 	}{{0.3, true}, {0.95, false}} {
 		r := newRig(t, settings(), 6)
 		for range 100 {
 			r.run(10*ms, totals(0))
-			id, as := r.arrive(0, 1, 1, 1)
-			for _, s := range sent(as) {
-				r.step(policy.AttemptEnded{RequestID: id, Endpoint: s.Endpoint, Outcome: policy.Succeeded, Latency: 20 * ms, RequestDone: true,
-					Report: policy.LoadReport{Utilization: &c.busy}})
+			id, actions := r.arrive(0, 1, 1, 1)
+			for _, attempt := range sent(actions) {
+				r.step(policy.AttemptEnded{RequestID: id, Endpoint: attempt.Endpoint, Outcome: policy.Succeeded, Latency: 20 * ms,
+					RequestDone: true, Report: policy.LoadReport{Utilization: &c.utilization}})
 			}
 		}
-		if _, as := r.arrive(0, 1, 1, 1); len(sent(as)) != 1 {
-			t.Fatal("not sent")
+		if _, actions := r.arrive(0, 1, 1, 1); len(sent(actions)) != 1 {
+			t.Fatal("not forwarded")
 		}
-		if copied := len(sent(r.run(400*ms, totals(0)))) > 0; copied != c.copies {
-			t.Errorf("servers %v busy: a second copy %v, want %v", c.busy, copied, c.copies)
+		if hedged := len(sent(r.run(400*ms, totals(0)))) > 0; hedged != c.hedges {
+			t.Errorf("utilization %v: a hedged attempt %v, want %v", c.utilization, hedged, c.hedges)
 		}
 	}
 }
 
-func TestNothingIsSentForAClientThatHasLeft(t *testing.T) {
-	// Each wait in which it may go: for a second copy, for a further attempt, and for the counter's answer, which
-	// may come in time, late or never.
-	gone := func(t *testing.T, as []policy.Action) {
-		t.Helper()
-		if s := sent(as); len(s) > 0 {
-			t.Errorf("sent %v", s)
-		}
-	}
-	for _, cancel := range []bool{true, false} {
+// Each wait in which the client may disconnect: for a hedged attempt, for a retry, and for the
+// counter's reply, which may come in time, late or never.
+func TestNoAttemptForADisconnectedClient(t *testing.T) {
+	for _, allowCancel := range []bool{true, false} {
 		set := settings()
-		set.AllowCancel = cancel
+		set.AllowCancel = allowCancel
 		r := newRig(t, set, 8)
-		id, as := r.arrive(0, 1, 1, 1)
-		s := sent(as)
-		if len(s) != 1 {
-			t.Fatalf("sent %v", s)
+		id, actions := r.arrive(0, 1, 1, 1)
+		attempts := sent(actions)
+		if len(attempts) != 1 {
+			t.Fatalf("attempts %v", attempts)
 		}
-		gone(t, r.step(policy.ClientDisconnected{RequestID: id}))
-		gone(t, r.run(time.Second, totals(0))) // a copy's time
-		gone(t, r.step(policy.AttemptEnded{RequestID: id, Endpoint: s[0].Endpoint, Outcome: policy.Overloaded, Latency: time.Second, RequestDone: true}))
-		gone(t, r.run(time.Second, totals(0)))
+		expectNoAttempt(t, r.step(policy.ClientDisconnected{RequestID: id}))
+		expectNoAttempt(t, r.run(time.Second, totals(0))) // in which a hedged attempt would start
+		expectNoAttempt(t, r.step(policy.AttemptEnded{RequestID: id, Endpoint: attempts[0].Endpoint,
+			Outcome: policy.Overloaded, Latency: time.Second, RequestDone: true}))
+		expectNoAttempt(t, r.run(time.Second, totals(0)))
 	}
-	for _, answer := range []policy.Outcome{policy.Succeeded, policy.Overloaded, policy.TimedOut, -1} {
+	const noReply policy.Outcome = -1
+	for _, outcome := range []policy.Outcome{policy.Succeeded, policy.Overloaded, policy.TimedOut, noReply} {
 		set := settings()
 		set.Plans[0].OverQuotaCost = 1
 		r := newRig(t, set, 8)
-		id, held := "", false
-		for i := 0; i < 100 && !held; i++ { // a part of the tries calls
-			id = fmt.Sprintf("%016x", i)
-			as := r.step(policy.RequestReceived{RequestID: id, Tenant: uint64(i), Timeout: 2 * time.Second, Units: 1, TenantGateways: 60})
-			held = has[policy.AddToCounter](as) && len(sent(as)) == 0
-			for _, s := range sent(as) {
-				r.pass(id, s)
-			}
+		id := r.arriveHeld()
+		expectNoAttempt(t, r.step(policy.ClientDisconnected{RequestID: id}))
+		reply := func(call policy.AddToCounter) policy.CounterReplied {
+			return policy.CounterReplied{Key: call.Key, Outcome: outcome, Total: max(call.Units, 0)}
 		}
-		if !held {
-			t.Fatal("no try is held for the counter")
+		if outcome == noReply {
+			reply = nil
 		}
-		gone(t, r.step(policy.ClientDisconnected{RequestID: id}))
-		reply := func(c policy.AddToCounter) policy.CounterReplied {
-			return policy.CounterReplied{Key: c.Key, Outcome: answer, Total: max(c.Units, 0)}
+		expectNoAttempt(t, r.run(5*time.Second, reply))
+	}
+}
+
+func expectNoAttempt(t *testing.T, actions []policy.Action) {
+	t.Helper()
+	if attempts := sent(actions); len(attempts) > 0 {
+		t.Errorf("attempts %v", attempts)
+	}
+}
+
+// arriveHeld hands over requests of small tenants, of which a part calls the counter, until
+// one is held for its reply, and returns that one's id.
+func (r *rig) arriveHeld() string {
+	r.t.Helper()
+	for i := range 100 {
+		id := fmt.Sprintf("%016x", i)
+		actions := r.step(policy.RequestReceived{RequestID: id, Tenant: uint64(i), Timeout: 2 * time.Second,
+			Units: 1, TenantGateways: 60})
+		attempts := sent(actions)
+		if len(attempts) == 0 && has[policy.AddToCounter](actions) {
+			return id
 		}
-		if answer < 0 {
-			reply = nil
+		for _, attempt := range attempts {
+			r.pass(id, attempt)
 		}
-		gone(t, r.run(5*time.Second, reply))
 	}
+	r.t.Fatal("no request is held for the counter")
+	return ""
 }
--- /dev/null
+++ b/internal/policy/balancer_test.go
@@ -0,0 +1,34 @@
+package policy_test
+
+import "testing"
+
+func TestGatewayUsesASubsetOfManyEndpoints(t *testing.T) {
+	// Found in incident i530123: hundreds of gateways, each connected to every endpoint and knowing none.
+	usedBy := func(gatewayIndex int) map[string]bool {
+		set := settings()
+		set.Gateways, set.GatewayIndex = 200, gatewayIndex
+		r := newRig(t, set, 100)
+		used := map[string]bool{}
+		for range 500 {
+			id, actions := r.arrive(0, 1, 1, 1)
+			for _, attempt := range sent(actions) {
+				used[attempt.Endpoint] = true
+				r.pass(id, attempt)
+			}
+		}
+		return used
+	}
+	usedByAny := map[string]bool{}
+	for gatewayIndex := range 40 {
+		used := usedBy(gatewayIndex)
+		if len(used) > 25 || len(used) < 8 {
+			t.Errorf("gateway %d uses %d of 100 endpoints", gatewayIndex, len(used))
+		}
+		for endpoint := range used {
+			usedByAny[endpoint] = true
+		}
+	}
+	if len(usedByAny) < 95 {
+		t.Errorf("40 gateways use %d of 100 endpoints", len(usedByAny))
+	}
+}
--- a/internal/policy/example_test.go
+++ b/internal/policy/example_test.go
@@ -7,10 +7,10 @@
 	"swiftpitch/internal/policy"
 )
 
-// A gateway learns of a server, takes a request, and is told that it was served.
+// A gateway learns of an endpoint, receives a request, and is told that the attempt succeeded.
 func Example() {
 	now := 10 * time.Second // since an epoch that all gateways share
-	g, err := policy.New(now, policy.Settings{
+	gateway, err := policy.New(now, policy.Settings{
 		Gateways: 2, MaxAttempts: 2,
 		Classes: []policy.Class{{LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}},
 		Plans:   []policy.Plan{{Rate: 5, Burst: 10, PriorityWeight: 1}},
@@ -20,20 +20,20 @@
 		return
 	}
 	var actions []policy.Action
-	actions = g.Step(now, policy.EndpointsUpdated{Scope: policy.FullUpdate,
+	actions = gateway.Step(now, policy.EndpointsUpdated{Scope: policy.FullUpdate,
 		Endpoints: []policy.Endpoint{{ID: "10.0.0.1:80"}}}, actions[:0])
-	actions = g.Step(now, policy.RequestReceived{RequestID: "r1", Tenant: 7, Timeout: 2 * time.Second, Units: 1, TenantGateways: 2},
-		actions[:0])
-	for _, a := range actions {
-		if s, ok := a.(policy.StartAttempt); ok {
-			fmt.Println("send", s.RequestID, "to", s.Endpoint)
+	actions = gateway.Step(now, policy.RequestReceived{RequestID: "r1", Tenant: 7, Timeout: 2 * time.Second,
+		Units: 1, TenantGateways: 2}, actions[:0])
+	for _, action := range actions {
+		if attempt, ok := action.(policy.StartAttempt); ok {
+			fmt.Println("forward", attempt.RequestID, "to", attempt.Endpoint)
 		}
 	}
 	now += 40 * time.Millisecond
-	actions = g.Step(now, policy.AttemptEnded{RequestID: "r1", Endpoint: "10.0.0.1:80", Outcome: policy.Succeeded,
+	actions = gateway.Step(now, policy.AttemptEnded{RequestID: "r1", Endpoint: "10.0.0.1:80", Outcome: policy.Succeeded,
 		Latency: 40 * time.Millisecond, RequestDone: true}, actions[:0])
 	fmt.Println(len(actions), "actions left")
 	// Output:
-	// send r1 to 10.0.0.1:80
+	// forward r1 to 10.0.0.1:80
 	// 0 actions left
 }
--- /dev/null
+++ b/internal/policy/slowstart_sim_test.go
@@ -0,0 +1,344 @@
+package policy_test
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"swiftpitch/internal/policy"
+	"swiftpitch/internal/testclock"
+)
+
+// This file simulates a whole fleet of gateways before endpoints that start slowly.
+
+const (
+	simEndpoints    = 30
+	simCapacity     = 12.0 // requests of mean work that a warm endpoint does in a second
+	simOneWay       = 2 * ms
+	simMaxQueue     = 60 // requests that wait at an endpoint; more are turned away
+	simPatience     = 2500 * ms
+	simUpdateSpread = time.Second // updates reach the gateways within this
+)
+
+// simFleet is a fleet of gateways before its endpoints, in simulated time.
+type simFleet struct {
+	testclock.Clock
+	t                 *testing.T
+	rng               *rand.Rand
+	set               policy.Settings
+	gateways          []*simGateway
+	cumulativeWeights []float64 // of the traffic, by gateway
+	endpoints         map[string]*simEndpoint
+	order             []*simEndpoint
+	requests          int
+	succeeded         int
+}
+
+// newSimFleet returns a fleet of warm endpoints; where uneven, one gateway in eight gets
+// six times the traffic of another.
+func newSimFleet(t *testing.T, gateways int, uneven bool) *simFleet {
+	t.Helper()
+	f := &simFleet{t: t, rng: rand.New(rand.NewPCG(uint64(gateways), 21)), set: simSettings(gateways),
+		endpoints: map[string]*simEndpoint{}}
+	for i := range simEndpoints {
+		f.add(fmt.Sprint("s", i), 0)
+	}
+	sum := 0.0
+	for i := range gateways {
+		weight := 1.0
+		if uneven && i%8 == 0 {
+			weight = 6 // four times the mean
+		}
+		sum += weight
+		f.cumulativeWeights = append(f.cumulativeWeights, sum)
+		gateway := &simGateway{fleet: f}
+		f.gateways = append(f.gateways, gateway)
+		gateway.start(i)
+	}
+	return f
+}
+
+func simSettings(gateways int) policy.Settings {
+	set := settings()
+	set.Gateways = gateways
+	set.Classes = []policy.Class{{LatencyObjective: time.Second, Deadline: simPatience,
+		Idempotency: policy.Idempotent, PriorityWeight: 1}}
+	set.Plans[1] = policy.Plan{Rate: 1e5, Burst: 1e6, PriorityWeight: 1} // quotas are not what this is about
+	set.SlowStartCapacity, set.SlowStartDuration = 0.27, 18*time.Second
+	set.OverloadMultiple, set.OverloadDuration = 2.5, 3*time.Second
+	set.MaxAttempts = 4
+	return set
+}
+
+// receive brings a request to a gateway by the weights of the traffic. Its client retries
+// a rejection at once, as often as retries says.
+func (f *simFleet) receive(retries int) {
+	at := f.rng.Float64() * f.cumulativeWeights[len(f.cumulativeWeights)-1]
+	i, _ := slices.BinarySearch(f.cumulativeWeights, at)
+	gateway := f.gateways[i]
+	f.requests++
+	incarnation := gateway.incarnation
+	request := &simRequest{id: fmt.Sprintf("%016x", f.requests), retries: retries, deadline: f.Now + simPatience}
+	gateway.requests[request.id] = request
+	f.After(simPatience, func() {
+		if gateway.incarnation == incarnation && !request.done {
+			request.done = true
+			gateway.step(policy.ClientDisconnected{RequestID: request.id})
+		}
+		f.After(time.Second, func() { delete(gateway.requests, request.id) })
+	})
+	gateway.step(policy.RequestReceived{RequestID: request.id, Plan: 1, Tenant: uint64(i)<<8 | uint64(f.requests%5),
+		Timeout: simPatience, Units: 1, TenantGateways: 1})
+}
+
+// offer brings requests, rate a second, until a time.
+func (f *simFleet) offer(rate float64, until time.Duration, retries int) {
+	gap := time.Duration(f.rng.ExpFloat64() / rate * float64(time.Second))
+	if f.Now+gap < until {
+		f.After(gap, func() {
+			f.receive(retries)
+			f.offer(rate, until, retries)
+		})
+	}
+}
+
+// update hands an update of discovery to all gateways, each up to a second late.
+func (f *simFleet) update(scope policy.UpdateScope, endpoints ...policy.Endpoint) {
+	for _, gateway := range f.gateways {
+		incarnation := gateway.incarnation
+		f.After(time.Duration(f.rng.Float64()*float64(simUpdateSpread)), func() {
+			if gateway.incarnation == incarnation {
+				gateway.step(policy.EndpointsUpdated{Scope: scope, Endpoints: endpoints})
+			}
+		})
+	}
+}
+
+// list is discovery's whole list.
+func (f *simFleet) list() (list []policy.Endpoint) {
+	for _, endpoint := range f.order {
+		if endpoint.State == policy.Serving && !endpoint.lost {
+			list = append(list, endpoint.Endpoint)
+		}
+	}
+	return list
+}
+
+// add starts an endpoint.
+func (f *simFleet) add(id string, startedAt time.Duration) policy.Endpoint {
+	endpoint := &simEndpoint{fleet: f, Endpoint: policy.Endpoint{ID: id, Weight: 1, StartedAt: startedAt, Zone: len(f.order) % 3}}
+	f.endpoints[id] = endpoint
+	f.order = append(f.order, endpoint)
+	return endpoint.Endpoint
+}
+
+// nearestApproach is the nearest approach of any endpoint that is warming up to its bound: the
+// requests that came in a time of the settings' length over N + 2 x root of N + 2, where N is
+// what the settings allow by its capacity when that time begins.
+func (f *simFleet) nearestApproach() (nearest float64) {
+	for _, endpoint := range f.order {
+		if endpoint.StartedAt != 0 {
+			nearest = max(nearest, endpoint.nearestApproach())
+		}
+	}
+	return nearest
+}
+
+// simGateway is one gateway of the fleet.
+type simGateway struct {
+	fleet       *simFleet
+	policy      *policy.Gateway
+	incarnation int
+	requests    map[string]*simRequest
+}
+
+// simRequest is one request of a client.
+type simRequest struct {
+	id       string
+	retries  int // times that the client will ask again
+	deadline time.Duration
+	attempts []simAttempt
+	done     bool
+}
+
+type simAttempt struct {
+	startedAt time.Duration
+	endpoint  string
+	ended     bool
+}
+
+// start begins a new incarnation.
+func (g *simGateway) start(gatewayIndex int) {
+	set := g.fleet.set
+	set.GatewayIndex, set.Seed = gatewayIndex, uint64(gatewayIndex+1000*g.incarnation+1)
+	gateway, err := policy.New(g.fleet.Now, set)
+	if err != nil {
+		g.fleet.t.Fatal(err)
+	}
+	g.incarnation++
+	g.policy, g.requests = gateway, map[string]*simRequest{}
+	g.step(policy.EndpointsUpdated{Scope: policy.CachedUpdate, Endpoints: g.fleet.list()})
+}
+
+// step hands over an event and carries out what it calls for.
+func (g *simGateway) step(event policy.Event) {
+	for _, action := range g.policy.Step(g.fleet.Now, event, nil) {
+		switch action := action.(type) {
+		case policy.StartTimer:
+			g.stepAfter(action.After, policy.TimerFired{TimerID: action.TimerID})
+		case policy.AddToCounter: // nobody else asks for this tenant's units
+			g.stepAfter(ms, policy.CounterReplied{Key: action.Key, Total: max(action.Units, 0)})
+		case policy.StartAttempt:
+			g.startAttempt(action)
+		case policy.Reject:
+			g.answer(action.RequestID, false)
+		case policy.Fail:
+			g.answer(action.RequestID, false)
+		case policy.CancelAttempt:
+			if request := g.requests[action.RequestID]; request != nil {
+				g.endAttempt(request, action.Attempt, policy.Canceled, 0)
+			}
+		}
+	}
+}
+
+// stepAfter hands over an event later, unless the gateway has restarted by then.
+func (g *simGateway) stepAfter(after time.Duration, event policy.Event) {
+	incarnation := g.incarnation
+	g.fleet.After(after, func() {
+		if g.incarnation == incarnation {
+			g.step(event)
+		}
+	})
+}
+
+// answer ends a request. A client that is rejected may ask again at once.
+func (g *simGateway) answer(id string, succeeded bool) {
+	request := g.requests[id]
+	if request == nil || request.done {
+		return
+	}
+	request.done = true
+	if succeeded {
+		g.fleet.succeeded++
+	} else if request.retries > 0 {
+		g.fleet.After(simOneWay, func() { g.fleet.receive(request.retries - 1) })
+	}
+}
+
+func (g *simGateway) endAttempt(request *simRequest, number int, outcome policy.Outcome, utilization float64) {
+	attempt := &request.attempts[number]
+	if attempt.ended {
+		return
+	}
+	attempt.ended = true
+	if outcome == policy.Succeeded {
+		g.answer(request.id, true)
+	}
+	g.step(policy.AttemptEnded{RequestID: request.id, Attempt: number, Endpoint: attempt.endpoint, Outcome: outcome,
+		Latency: g.fleet.Now - attempt.startedAt, RequestDone: request.done,
+		Report: policy.LoadReport{Utilization: &utilization}})
+}
+
+func (g *simGateway) startAttempt(action policy.StartAttempt) {
+	f := g.fleet
+	request, endpoint := g.requests[action.RequestID], f.endpoints[action.Endpoint]
+	number := len(request.attempts)
+	request.attempts = append(request.attempts, simAttempt{startedAt: f.Now, endpoint: action.Endpoint})
+	until := request.deadline
+	if action.Timeout > 0 {
+		until = min(until, f.Now+action.Timeout)
+	}
+	incarnation := g.incarnation
+	end := func(outcome policy.Outcome) {
+		if g.incarnation == incarnation {
+			g.endAttempt(request, number, outcome, endpoint.utilization)
+		}
+	}
+	f.After(until-f.Now, func() { end(policy.TimedOut) })
+	f.After(simOneWay, func() { endpoint.receive(until, end) })
+}
+
+// simEndpoint is an endpoint that works on its requests in turn, as fast as it is warm.
+// What is not begun in its time is not begun at all.
+type simEndpoint struct {
+	policy.Endpoint
+	fleet         *simFleet
+	lost          bool
+	idleAt        time.Duration
+	waiting       int
+	utilization   float64 // share of the time that it works
+	utilizationAt time.Duration
+	received      []time.Duration // when requests came that count for the bound while warming up
+}
+
+// slowStartFactor is the part of its capacity that an endpoint has at some time.
+func (e *simEndpoint) slowStartFactor(at time.Duration) float64 {
+	set := &e.fleet.set
+	if e.StartedAt == 0 || at >= e.StartedAt+set.SlowStartDuration {
+		return 1
+	}
+	return set.SlowStartCapacity + (1-set.SlowStartCapacity)*max((at-e.StartedAt).Seconds(), 0)/set.SlowStartDuration.Seconds()
+}
+
+// receive takes in an attempt that is given up at some time; end tells its outcome.
+func (e *simEndpoint) receive(until time.Duration, end func(policy.Outcome)) {
+	f := e.fleet
+	if e.lost {
+		return
+	}
+	e.received = append(e.received, f.Now)
+	if e.waiting >= simMaxQueue {
+		f.After(simOneWay, func() { end(policy.Overloaded) })
+		return
+	}
+	e.waiting++
+	begin := max(e.idleAt, f.Now)
+	if begin >= until { // its time will be over
+		f.After(begin-f.Now, func() { e.waiting-- })
+		return
+	}
+	work := time.Duration(f.rng.ExpFloat64() / (simCapacity * e.slowStartFactor(begin)) * float64(time.Second))
+	e.idleAt = begin + work
+	f.After(e.idleAt-f.Now, func() { e.serve(work, end) })
+}
+
+// serve ends the work on an attempt.
+func (e *simEndpoint) serve(work time.Duration, end func(policy.Outcome)) {
+	f := e.fleet
+	e.waiting--
+	fade := math.Exp(-(f.Now - e.utilizationAt).Seconds())
+	e.utilization = min(e.utilization*fade+work.Seconds(), 1)
+	e.utilizationAt = f.Now
+	if !e.lost {
+		f.After(simOneWay, func() { end(policy.Succeeded) })
+	}
+}
+
+// restart gives an endpoint's id a new process.
+func (e *simEndpoint) restart() policy.Endpoint {
+	e.lost, e.StartedAt, e.idleAt, e.received, e.State = false, e.fleet.Now, e.fleet.Now, nil, policy.Serving
+	return e.Endpoint
+}
+
+// nearestApproach is that of this endpoint, see [simFleet.nearestApproach].
+func (e *simEndpoint) nearestApproach() (nearest float64) {
+	set := &e.fleet.set
+	first := 0
+	for i, at := range e.received {
+		for e.received[first] <= at-set.OverloadDuration {
+			first++
+		}
+		begin := max(at-set.OverloadDuration, e.StartedAt)
+		factor := e.slowStartFactor(begin)
+		if factor >= 1 {
+			break
+		}
+		n := set.OverloadMultiple * factor * simCapacity * set.OverloadDuration.Seconds()
+		nearest = max(nearest, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
+	}
+	return nearest
+}
--- /dev/null
+++ b/internal/policy/throttle_test.go
@@ -0,0 +1,96 @@
+package policy_test
+
+import (
+	"testing"
+	"time"
+
+	"swiftpitch/internal/policy"
+)
+
+// pendingOutcome is the outcome of an attempt that is still in flight.
+type pendingOutcome struct {
+	at    time.Duration
+	ended policy.AttemptEnded
+}
+
+// deliver hands over the outcomes that are due and returns the others.
+func (r *rig) deliver(pending []pendingOutcome) []pendingOutcome {
+	kept := pending[:0]
+	for _, outcome := range pending {
+		if outcome.at <= r.now {
+			r.step(outcome.ended)
+		} else {
+			kept = append(kept, outcome)
+		}
+	}
+	return kept
+}
+
+func TestLossesAtAllEndpointsDoNotLookLikeLoad(t *testing.T) {
+	// Found in incident ic48e92: a quarter of the attempts lost everywhere, the rest at usual latencies.
+	r := newRig(t, settings(), 2)
+	var pending []pendingOutcome
+	rejected := 0
+	for i := range 1000 {
+		r.run(20*ms, totals(0))
+		pending = r.deliver(pending)
+		id, actions := r.arrive(2, 1, 1, 1)
+		attempts := sent(actions)
+		if len(attempts) == 0 {
+			rejected++
+			continue
+		}
+		ended := policy.AttemptEnded{RequestID: id, Endpoint: attempts[0].Endpoint,
+			Outcome: policy.Succeeded, Latency: 100 * ms, RequestDone: true}
+		if i%4 == 0 {
+			ended.Outcome, ended.Latency, ended.RequestDone = policy.TimedOut, attempts[0].Timeout, false
+		}
+		pending = append(pending, pendingOutcome{r.now + ended.Latency, ended})
+	}
+	if rejected > 50 {
+		t.Errorf("%d of 1000 requests rejected though the endpoints answer at their usual latency", rejected)
+	}
+}
+
+func TestManyGatewaysKeepQueuesShort(t *testing.T) {
+	// Found in incident i6186b0: each of many gateways adds its few attempts to the same endpoints.
+	inFlight := func(gateways int) (attempts int) {
+		set := settings()
+		set.Gateways = gateways
+		r := newRig(t, set, 4)
+		for range 200 { // all at once, nothing is answered
+			_, actions := r.arrive(0, 1, 1, 1)
+			attempts += len(sent(actions))
+		}
+		return attempts
+	}
+	if few, many := inFlight(3), inFlight(12); many*3 > few*2 {
+		t.Errorf("one of 12 gateways has %d attempts in flight, one of 3 has %d", many, few)
+	}
+}
+
+func TestEndpointsThatAnswerNobodyInTimeGetFewerAttempts(t *testing.T) {
+	// Found in incident i2861ff: all endpoints fall behind, and a gateway of few attempts sees no queue.
+	attemptsWith := func(lostOfTen int) (attempts int) {
+		set := settings()
+		set.AllowHedging, set.Gateways = false, 100
+		r := newRig(t, set, 20)
+		for i := range 400 {
+			r.run(250*ms, totals(0))
+			id, actions := r.arrive(2, 1, 1, 1)
+			for _, attempt := range sent(actions) {
+				attempts++
+				if i%10 >= lostOfTen {
+					r.pass(id, attempt)
+					continue
+				}
+				r.step(policy.AttemptEnded{RequestID: id, Endpoint: attempt.Endpoint,
+					Outcome: policy.TimedOut, Latency: attempt.Timeout})
+			}
+		}
+		return attempts
+	}
+	if few, most := attemptsWith(2), attemptsWith(10); few < 380 || most > 200 || most == 0 {
+		t.Errorf("of 400 requests %d forwarded where a fifth is lost, want all; %d where all are, want few", few, most)
+	}
+}
