--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -1,7 +1,7 @@
 package policy
 
-// startAttempt starts an attempt of r; expected is its expected latency in seconds.
-func (g *Gateway) startAttempt(r *request, ep *endpoint, expected float64) {
+// startAttempt starts an attempt of r; expectedLatency is in seconds.
+func (g *Gateway) startAttempt(r *request, ep *endpoint, expectedLatency float64) {
 	r.attempts = append(r.attempts, attempt{
 		endpoint:       ep,
 		startedAt:      g.now,
@@ -14,7 +14,7 @@
 	ep.inFlight++
 	r.tenant.inFlight++
 	g.emit(StartAttempt{RequestID: r.id, Endpoint: ep.ID, Timeout: r.attemptTimeout(g.now)})
-	g.scheduleHedge(r, expected)
+	g.scheduleHedge(r, expectedLatency)
 }
 
 // findAttempt returns an attempt and its request; nil if there is no such attempt, or it
--- a/internal/policy/endpoint.go
+++ b/internal/policy/endpoint.go
@@ -71,7 +71,7 @@
 func (s *endpointSet) applyEntry(now Time, entry Endpoint) {
 	ep := s.byID[entry.ID]
 	if entry.State == Removed {
-		if ep != nil { // where it stood still binds the retries of what was sent to it
+		if ep != nil { // its place still binds the retries of what it may have run
 			ep.listed = false
 		}
 		return
--- a/internal/policy/hedge.go
+++ b/internal/policy/hedge.go
@@ -22,13 +22,13 @@
 func (h *hedgeGuard) allows() bool { return h.meanUtilization < maxHedgeUtilization }
 
 // scheduleHedge sets the timer for a hedged attempt, where one is allowed, after the first
-// attempt of r has started; expected is that attempt's expected latency in seconds.
-func (g *Gateway) scheduleHedge(r *request, expected float64) {
+// attempt of r has started; expectedLatency is that attempt's, in seconds.
+func (g *Gateway) scheduleHedge(r *request, expectedLatency float64) {
 	if len(r.attempts) != 1 || r.class.Idempotency == NonIdempotent || !g.set.AllowHedging {
 		return
 	}
 	objective := r.class.LatencyObjective.Seconds()
-	after := min(max(hedgeAfter*expected, minHedgeShare*objective), maxHedgeShare*objective)
+	after := min(max(hedgeAfter*expectedLatency, minHedgeShare*objective), maxHedgeShare*objective)
 	g.startTimer(seconds(after), func() { g.hedge(r) })
 }
 
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -63,13 +63,13 @@
 // the cause, and readmits them after a recovery trial.
 type outlierDetector struct {
 	settings         *Settings
-	do               func(Action) // appends an action to those of the current step
+	emit             func(Action) // appends an action to those of the current step
 	fleetErrorRate   float64      // share of recent outcomes that were errors, over all endpoints
 	trialIdempotency Idempotency  // the least delicate kind in use; only such requests make trials
 }
 
-func newOutlierDetector(settings *Settings, do func(Action)) outlierDetector {
-	d := outlierDetector{settings: settings, do: do, trialIdempotency: NonIdempotent}
+func newOutlierDetector(settings *Settings, emit func(Action)) outlierDetector {
+	d := outlierDetector{settings: settings, emit: emit, trialIdempotency: NonIdempotent}
 	for _, class := range settings.Classes {
 		d.trialIdempotency = min(d.trialIdempotency, class.Idempotency)
 	}
@@ -102,7 +102,7 @@
 	}
 	if d.settings.AllowHealthChecks && !ep.healthCheckPassed {
 		ep.trialPending = true
-		d.do(CheckHealth{Endpoint: ep.ID})
+		d.emit(CheckHealth{Endpoint: ep.ID})
 		return false
 	}
 	return true
@@ -139,7 +139,7 @@
 }
 
 // showsLife reports whether an outcome ends an endpoint's silence. A lost connection does
-// too: silence is what was sent and never ended.
+// too: silence is made up of attempts that never end.
 func showsLife(outcome Outcome) bool {
 	switch outcome {
 	case Succeeded, ServerError, Overloaded, ConnectionLost:
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -25,7 +25,7 @@
 	tenant          *tenantState
 	units           float64
 	chargedToBucket bool // its units were taken from the tenant's shared bucket
-	objectiveAt     Time // an answer later than this is worth little
+	objectiveAt     Time // an answer later than this earns little
 	deadline        Time // the client gives up
 	attempts        []attempt
 	done            bool // it has its final answer
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -27,12 +27,12 @@
 	if !g.mayRetry(r) {
 		return false
 	}
-	ep, expected := g.balancer.pick(g.now, r)
-	if ep == nil || g.throttle.shouldShed(g.now, r, ep, expected) {
+	ep, expectedLatency := g.balancer.pick(g.now, r)
+	if ep == nil || g.throttle.shouldShed(g.now, r, ep, expectedLatency) {
 		return false
 	}
 	g.retryBudget.withdraw()
-	g.startAttempt(r, ep, expected)
+	g.startAttempt(r, ep, expectedLatency)
 	return true
 }
 
--- a/internal/policy/throttle.go
+++ b/internal/policy/throttle.go
@@ -36,14 +36,13 @@
 }
 
 // shouldShed reports whether even the best endpoint is so far behind that a queue would
-// only exceed the latency objective; expected is the expected latency there, in seconds.
-// Where endpoints are slow without queues, shedding shortens nothing, so a little is
-// admitted.
+// only exceed the latency objective; expectedLatency is the one there, in seconds. Where
+// endpoints are slow without queues, shedding shortens nothing, so a little is admitted.
 //
 // The expected latency takes every attempt for a whole wait, though endpoints work on
 // several at once. The shares of the objective leave room for that; larger ones let queues
 // grow where endpoints truly are behind.
-func (t *throttle) shouldShed(now Time, r *request, ep *endpoint, expected float64) bool {
+func (t *throttle) shouldShed(now Time, r *request, ep *endpoint, expectedLatency float64) bool {
 	if t.rng.Float64()*t.expected < t.expected-maxStartedPerSuccess*t.succeeded-toleratedFailures {
 		t.record(now, 1, 0)
 		return true
@@ -52,7 +51,7 @@
 	if ep.inFlight == 0 { // with many gateways, none of ours says little
 		share += (idleObjectiveShare - objectiveShare) * min(1, fewGateways/float64(t.settings.Gateways))
 	}
-	return expected > share*(r.objectiveAt-now).Seconds()
+	return expectedLatency > share*(r.objectiveAt-now).Seconds()
 }
 
 // attemptStarted counts a started attempt.
