--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -11,10 +11,6 @@
 	"swiftpitch/internal/upstream"
 )
 
-// attemptDeadlineMargin is how long before a request's deadline its attempts are given
-// up, so that the policy can still answer.
-const attemptDeadlineMargin = 15 * time.Millisecond
-
 // attempt is one attempt of a request at one endpoint. The node's lock guards it; its
 // goroutine reads without the lock only what is set before it starts (request, number,
 // endpoint, addr).
@@ -38,7 +34,7 @@
 func (r *request) newAttempt(endpointID string, now time.Time) *attempt {
 	a := &attempt{request: r, number: len(r.attempts), endpointID: endpointID, startedAt: now}
 	r.attempts = append(r.attempts, a)
-	r.attemptsInFlight++
+	r.out++
 	return a
 }
 
@@ -67,7 +63,7 @@
 	a := r.newAttempt(action.Endpoint, now)
 	a.endpoint = n.pool.Endpoint(action.Endpoint)
 	timeout := r.attemptTimeout(action.Timeout, now)
-	if r.answered || a.endpoint == nil || timeout <= 0 || a.number >= n.cfg.Settings.Limits.MaxAttempts {
+	if r.final || a.endpoint == nil || timeout <= 0 || a.number >= n.cfg.Settings.Limits.MaxAttempts {
 		n.endAttempt(a, policy.NotSent)
 		return
 	}
@@ -78,19 +74,19 @@
 	}
 	a.addr = a.endpoint.Addr()
 	a.conn = conn
-	a.timer = n.afterFunc(timeout, func() { n.endAttempt(a, policy.TimedOut) })
+	a.timer = n.after(timeout, func() { n.endAttempt(a, policy.TimedOut) })
 	ctx := n.ctx
 	if conn == nil {
 		ctx, a.cancelDial = context.WithTimeout(n.ctx, n.pool.DialTimeout())
 	}
 	text := r.forwardText(timeout)
-	n.workers.Go(func() { n.runAttempt(ctx, a, conn, text) })
+	n.worker.Go(func() { n.runAttempt(ctx, a, conn, text) })
 }
 
-// attemptTimeout returns how long an attempt may take that starts now: until the margin
-// before the request's deadline, or less if the policy sets a timeout above 0.
+// attemptTimeout returns how long an attempt may take that starts now: until the cut
+// lead before the request's deadline, or less if the policy sets a timeout above 0.
 func (r *request) attemptTimeout(policyTimeout time.Duration, now time.Time) time.Duration {
-	timeout := r.deadline.Sub(now) - attemptDeadlineMargin
+	timeout := r.deadline.Sub(now) - cutLead
 	if policyTimeout != 0 {
 		timeout = min(timeout, policyTimeout)
 	}
@@ -102,8 +98,8 @@
 func (r *request) forwardText(timeout time.Duration) net.Buffers {
 	const lineEnds = "\r\n\r\n"
 	const maxTimeoutDigits = 12
-	head := make([]byte, 0, len(r.forwardHead)+maxTimeoutDigits+len(lineEnds))
-	head = append(head, r.forwardHead...)
+	head := make([]byte, 0, len(r.head)+maxTimeoutDigits+len(lineEnds))
+	head = append(head, r.head...)
 	head = strconv.AppendInt(head, max(timeout.Milliseconds(), 1), 10)
 	head = append(head, lineEnds...)
 	text := net.Buffers{head}
@@ -119,11 +115,11 @@
 // policy looks at the window when it chooses the endpoint.
 func (a *attempt) withinDedupWindow(now time.Time) bool {
 	r := a.request
-	if r.dedupWindow <= 0 {
+	if r.window <= 0 {
 		return true
 	}
 	for _, earlier := range r.attempts[:a.number] {
-		if !earlier.neverRan && now.Sub(earlier.startedAt) >= r.dedupWindow {
+		if !earlier.neverRan && now.Sub(earlier.startedAt) >= r.window {
 			return false
 		}
 	}
@@ -186,8 +182,8 @@
 // reports false if the attempt may no longer be written. The lock is held.
 func (n *Node) claimConn(a *attempt, conn *upstream.Conn) bool {
 	now := time.Now()
-	n.detectDisconnect(a.request, now)
-	if a.ended || a.request.answered {
+	n.missed(a.request, now)
+	if a.ended || a.request.final {
 		return false
 	}
 	if !n.pool.AcceptsAttempts(a.endpoint, now) || !a.withinDedupWindow(now) {
@@ -201,7 +197,7 @@
 func (n *Node) endUnwritten(a *attempt) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if a.request.answered { // no fault of the endpoint's
+	if a.request.final { // no fault of the endpoint's
 		n.endAttempt(a, policy.NotSent)
 		return
 	}
@@ -223,8 +219,8 @@
 	} else {
 		n.pool.Evict(conn)
 	}
-	if r := a.request; response.Outcome == policy.Succeeded && !r.answered {
-		n.deliverAnswer(r, answer{status: http.StatusOK, body: response.Body, contentType: response.ContentType})
+	if r := a.request; response.Outcome == policy.Succeeded && !r.final {
+		n.settle(r, answer{status: http.StatusOK, body: response.Body, contentType: response.ContentType})
 	}
 	a.loadReport = response.LoadReport
 	if n.plausibleUnits(response.ActualUnits) {
@@ -248,18 +244,18 @@
 	a.neverRan = provesNeverRan(outcome)
 	a.abandon()
 	r := a.request
-	r.attemptsInFlight--
+	r.out--
 	n.post(policy.AttemptEnded{
 		RequestID:   r.id,
 		Attempt:     a.number,
 		Endpoint:    a.endpointID,
 		Outcome:     outcome,
 		Latency:     time.Since(a.startedAt),
-		RequestDone: r.answered,
+		RequestDone: r.final,
 		ActualUnits: a.actualUnits,
 		Report:      a.loadReport,
 	})
-	n.forgetIfDone(r)
+	n.release(r)
 }
 
 // provesNeverRan reports whether an attempt with that outcome was not run by its endpoint.
--- a/internal/edge/attempt_test.go
+++ b/internal/edge/attempt_test.go
@@ -68,7 +68,7 @@
 	<-started // of the retry
 	r.node.mu.Lock()
 	for _, q := range r.node.requests {
-		q.attempts[0].startedAt = time.Now().Add(-q.dedupWindow)
+		q.attempts[0].startedAt = time.Now().Add(-q.window)
 	}
 	r.node.mu.Unlock()
 	close(release)
@@ -134,7 +134,7 @@
 
 // actualUnitsRecorder records the actual units of the attempts that end.
 type actualUnitsRecorder struct {
-	policyGateway
+	module
 	units chan float64
 }
 
@@ -143,7 +143,7 @@
 	if e, ok := ev.(policy.AttemptEnded); ok {
 		c.units <- e.ActualUnits
 	}
-	return c.policyGateway.Step(now, ev, out)
+	return c.module.Step(now, ev, out)
 }
 
 // TestActualUnitsReachPolicy checks the settling of quotas: the actual units of a
@@ -154,7 +154,7 @@
 		cfg := testConfig(t)
 		cfg.Settings.Service.MaxRequestUnits = 6
 		r := startNode(t, cfg, app.addr)
-		recorder := actualUnitsRecorder{policyGateway: r.node.gateway, units: make(chan float64, 8)}
+		recorder := actualUnitsRecorder{module: r.node.gateway, units: make(chan float64, 8)}
 		r.node.mu.Lock()
 		r.node.gateway = recorder
 		r.node.mu.Unlock()
--- a/internal/edge/counter.go
+++ b/internal/edge/counter.go
@@ -16,8 +16,8 @@
 		Context:     n.ctx,
 		Lock:        &n.mu,
 		DialTimeout: n.pool.DialTimeout(),
-		Go:          n.workers.Go,
-		AfterFunc:   n.afterFunc,
+		Go:          n.worker.Go,
+		AfterFunc:   n.after,
 		OnReply:     func(reply policy.CounterReplied) { n.post(reply) },
 	})
 }
--- a/internal/edge/healthcheck.go
+++ b/internal/edge/healthcheck.go
@@ -37,7 +37,7 @@
 		return
 	}
 	check.addr = check.endpoint.Addr()
-	n.workers.Go(func() { n.runHealthCheck(check, conn) })
+	n.worker.Go(func() { n.runHealthCheck(check, conn) })
 }
 
 // runHealthCheck carries a health check through on conn, or on a new connection if conn
--- a/internal/edge/leave_test.go
+++ b/internal/edge/leave_test.go
@@ -24,7 +24,7 @@
 		r.node.mu.Lock()
 		defer r.node.mu.Unlock()
 		for _, q := range r.node.requests {
-			if !q.answered {
+			if !q.final {
 				return false
 			}
 		}
@@ -124,7 +124,7 @@
 	r := startNode(t, cfg, a.addr, b.addr)
 	ended := make(chan policy.Outcome, 8)
 	r.node.mu.Lock()
-	r.node.gateway = endings{policyGateway: r.node.gateway, got: ended}
+	r.node.gateway = endings{module: r.node.gateway, got: ended}
 	r.node.mu.Unlock()
 	c := r.dial()
 	io.WriteString(c, clientRequest("lookup", "00000000000000aa"))
@@ -142,12 +142,12 @@
 
 // endings notes the outcomes of attempts once the module has dealt with them.
 type endings struct {
-	policyGateway
+	module
 	got chan policy.Outcome
 }
 
 func (m endings) Step(now policy.Time, ev policy.Event, out []policy.Action) []policy.Action {
-	out = m.policyGateway.Step(now, ev, out)
+	out = m.module.Step(now, ev, out)
 	if e, ok := ev.(policy.AttemptEnded); ok {
 		for _, a := range out {
 			if _, ok := a.(policy.StartAttempt); ok {
@@ -299,9 +299,9 @@
 
 // begin hands the module a request without a listener. The lock is held.
 func (r *rig) begin(id string, conn *frontend.Conn) *request {
-	q := &request{id: id, conn: conn, receivedAt: time.Now().Add(-time.Second), deadline: time.Now().Add(patience),
-		answer: make(chan answer, 1), forwardHead: []byte("GET /lookup/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\nX-Expires-In-Ms: ")}
-	q.deadlineGuard = r.node.afterFunc(patience, func() {})
+	q := &request{id: id, conn: conn, came: time.Now().Add(-time.Second), deadline: time.Now().Add(patience),
+		answer: make(chan answer, 1), head: []byte("GET /lookup/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\nX-Expires-In-Ms: ")}
+	q.guard = r.node.after(patience, func() {})
 	r.node.requests[id] = q
 	r.node.post(policy.RequestReceived{RequestID: id, Tenant: 1, Timeout: patience, Units: 1, TenantGateways: 1})
 	return q
@@ -323,8 +323,8 @@
 			t.Fatalf("%d connections rest", len(endpoint.IdleConns()))
 		}
 		q := r.begin("00000000000000bb", nil)
-		if q.attemptsInFlight != 1 || len(endpoint.IdleConns()) != 0 {
-			t.Fatalf("%d attempts out, %d connections rest", q.attemptsInFlight, len(endpoint.IdleConns()))
+		if q.out != 1 || len(endpoint.IdleConns()) != 0 {
+			t.Fatalf("%d attempts out, %d connections rest", q.out, len(endpoint.IdleConns()))
 		}
 		r.node.clientDisconnectedLocked(q)
 		r.node.mu.Unlock()
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -40,12 +40,12 @@
 type Node struct {
 	cfg    Config
 	log    *slog.Logger
-	startedAt  time.Time   // reading of the monotonic clock that epoch belongs to
+	began  time.Time   // reading of the monotonic clock that epoch belongs to
 	epoch  policy.Time // Unix time at began
 	ctx    context.Context
 	stop   context.CancelFunc
 	dial   func(ctx context.Context, network, addr string) (net.Conn, error) // to app servers
-	workers sync.WaitGroup                                                    // goroutines besides those of the listener
+	worker sync.WaitGroup                                                    // goroutines besides those of the listener
 
 	phases  shutdownPhases // of the graceful shutdown
 	parser  *frontend.Parser
@@ -53,32 +53,32 @@
 	clients *frontend.Tracker      // has a lock of its own
 
 	mu       sync.Mutex
-	gateway  policyGateway
+	gateway  module
 	events   []policy.Event // to be stepped, oldest first
-	dispatching bool
+	stepping bool
 	actions  []policy.Action
 	requests map[string]*request
 	pool     *upstream.Pool
 	draining bool
-	rejecting     bool // all is answered: the process is about to be killed
+	over     bool // all is answered: the process is about to be killed
 	closed   bool
 
 	discovery *discovery.Client
 	counter   *counterclient.Client
-	fatalError    chan error // takes the one error that ends the node
+	failed    chan error // takes the one error that ends the node
 }
 
-// policyGateway is what the driver needs of a [policy.Gateway].
-type policyGateway interface {
+// module is what the driver needs of a [policy.Gateway].
+type module interface {
 	Step(now policy.Time, ev policy.Event, out []policy.Action) []policy.Action
 }
 
 // New returns an edge node that has not yet opened any socket.
 func New(cfg Config, log *slog.Logger) (*Node, error) {
 	began := time.Now()
-	n := &Node{cfg: cfg, log: log, startedAt: began, epoch: policy.Time(began.UnixNano()),
+	n := &Node{cfg: cfg, log: log, began: began, epoch: policy.Time(began.UnixNano()),
 		requests: map[string]*request{}, dial: (&net.Dialer{}).DialContext,
-		fatalError: make(chan error, 1)}
+		failed: make(chan error, 1)}
 	gw, err := policy.New(n.epoch, cfg.Settings.Policy(cfg.Seed))
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -101,9 +101,9 @@
 func (n *Node) start() {
 	n.applyList(n.cfg.Known, policy.CachedUpdate)
 	if n.cfg.Discovery != "" {
-		n.workers.Go(func() { n.discovery.Run(n.ctx) })
+		n.worker.Go(func() { n.discovery.Run(n.ctx) })
 	}
-	n.workers.Go(n.evictIdleConns)
+	n.worker.Go(n.sweep)
 }
 
 // close ends all that start began. No event is stepped afterwards.
@@ -121,11 +121,11 @@
 		n.counter.Close()
 	}
 	n.mu.Unlock()
-	n.workers.Wait()
+	n.worker.Wait()
 }
 
-// evictIdleConns drops idle connections until the node stops.
-func (n *Node) evictIdleConns() {
+// sweep drops idle connections until the node stops.
+func (n *Node) sweep() {
 	tick := time.NewTicker(n.pool.SweepInterval())
 	defer tick.Stop()
 	for {
@@ -142,17 +142,17 @@
 
 // now reads the module's clock: the wall clock as it was at the start, moved on
 // by the monotonic one.
-func (n *Node) now() policy.Time { return n.epoch + time.Since(n.startedAt) }
+func (n *Node) now() policy.Time { return n.epoch + time.Since(n.began) }
 
 // post hands an event to the module and carries out what it decides. Events
 // that come up meanwhile wait their turn. The lock is held.
 func (n *Node) post(ev policy.Event) {
 	n.events = append(n.events, ev)
-	if n.dispatching || n.closed {
+	if n.stepping || n.closed {
 		return
 	}
-	n.dispatching = true
-	defer n.recoverPanic()
+	n.stepping = true
+	defer n.catch()
 	for i := 0; i < len(n.events); i++ {
 		n.actions = n.gateway.Step(n.now(), n.events[i], n.actions[:0])
 		for _, a := range n.actions {
@@ -161,16 +161,16 @@
 	}
 	clear(n.events)
 	clear(n.actions)
-	n.events, n.dispatching = n.events[:0], false
+	n.events, n.stepping = n.events[:0], false
 }
 
-// recoverPanic ends the node if the module panics. The HTTP library would recoverPanic that by
+// catch ends the node if the module panics. The HTTP library would catch that by
 // itself and leave a node that takes requests and never steps again.
-func (n *Node) recoverPanic() {
+func (n *Node) catch() {
 	if p := recover(); p != nil {
 		n.log.Error("the module panicked", "panic", p, "stack", string(debug.Stack()))
 		n.closed = true
-		n.fatalError <- fmt.Errorf("the module panicked: %v", p)
+		n.failed <- fmt.Errorf("the module panicked: %v", p)
 	}
 }
 
@@ -209,11 +209,11 @@
 // startTimer tells the policy once a time has passed.
 func (n *Node) startTimer(a policy.StartTimer) {
 	timerID := a.TimerID
-	n.afterFunc(a.After, func() { n.post(policy.TimerFired{TimerID: timerID}) })
+	n.after(a.After, func() { n.post(policy.TimerFired{TimerID: timerID}) })
 }
 
-// afterFunc runs f under the lock once d has passed, unless the node has stopped.
-func (n *Node) afterFunc(d time.Duration, f func()) *time.Timer {
+// after runs f under the lock once d has passed, unless the node has stopped.
+func (n *Node) after(d time.Duration, f func()) *time.Timer {
 	return time.AfterFunc(d, func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -9,6 +9,9 @@
 )
 
 const (
+	// cutLead is how long before a request's deadline its attempts are given
+	// up, so that the policy can still answer.
+	cutLead = 15 * time.Millisecond
 	// deadlineGuardMargin is how long before a request's deadline it is failed if the
 	// policy has not ended it.
 	deadlineGuardMargin = 8 * time.Millisecond
@@ -28,16 +31,16 @@
 // the end of its last attempt. The node's lock guards it.
 type request struct {
 	id       string
-	forwardHead     []byte // the forwarded head up to the deadline's value
+	head     []byte // the forwarded head up to the deadline's value
 	body     []byte
 	conn     *frontend.Conn // nil: not of a listener
-	receivedAt     time.Time      // when its last byte was read
+	came     time.Time      // when its last byte was read
 	deadline time.Time
-	dedupWindow   time.Duration // for which repeats are dropped; 0: the class has no key
-	deadlineGuard    *time.Timer   // fails the request shortly before its deadline
+	window   time.Duration // for which repeats are dropped; 0: the class has no key
+	guard    *time.Timer   // fails the request shortly before its deadline
 	attempts []*attempt
-	attemptsInFlight      int         // attempts without an outcome
-	answered    bool        // answered, or the client has disconnected
+	out      int         // attempts without an outcome
+	final    bool        // answered, or the client has disconnected
 	answer   chan answer // takes the one final answer
 }
 
@@ -53,12 +56,12 @@
 func newRequest(parsed *frontend.Request, conn *frontend.Conn) *request {
 	return &request{
 		id:       parsed.Event.RequestID,
-		forwardHead:     parsed.ForwardHead,
+		head:     parsed.ForwardHead,
 		body:     parsed.Body,
 		conn:     conn,
-		receivedAt:     parsed.ReceivedAt,
+		came:     parsed.ReceivedAt,
 		deadline: parsed.Deadline,
-		dedupWindow:   parsed.DedupWindow,
+		window:   parsed.DedupWindow,
 	}
 }
 
@@ -71,12 +74,12 @@
 		return false
 	}
 	r.answer = make(chan answer, 1)
-	if n.rejecting {
-		r.answered = true
+	if n.over {
+		r.final = true
 		r.answer <- answer{status: statusRejected}
 		return true
 	}
-	r.deadlineGuard = n.afterFunc(time.Until(r.deadline)-deadlineGuardMargin, func() { n.expire(r) })
+	r.guard = n.after(time.Until(r.deadline)-deadlineGuardMargin, func() { n.expire(r) })
 	n.requests[r.id] = r
 	n.post(event)
 	return true
@@ -99,10 +102,10 @@
 	n.abort(r, answer{})
 }
 
-// detectDisconnect looks, before an attempt of a request that has waited, whether its client
+// missed looks, before an attempt of a request that has waited, whether its client
 // has disconnected: who reads its connection may not have got round to that. The lock is held.
-func (n *Node) detectDisconnect(r *request, now time.Time) {
-	if r.conn != nil && !r.answered && now.Sub(r.receivedAt) > disconnectCheckAge && r.conn.DetectDisconnect() {
+func (n *Node) missed(r *request, now time.Time) {
+	if r.conn != nil && !r.final && now.Sub(r.came) > disconnectCheckAge && r.conn.DetectDisconnect() {
 		n.clientDisconnectedLocked(r)
 	}
 }
@@ -110,34 +113,34 @@
 // abort gives a request its final answer without the policy, and tells the policy that
 // nothing more is owed. The lock is held.
 func (n *Node) abort(r *request, a answer) {
-	if r.answered {
+	if r.final {
 		return
 	}
-	n.deliverAnswer(r, a)
+	n.settle(r, a)
 	n.post(policy.ClientDisconnected{RequestID: r.id})
-	n.forgetIfDone(r)
+	n.release(r)
 }
 
 // finish carries out a final answer of the policy. The lock is held.
 func (n *Node) finish(id string, a answer) {
 	r := n.requests[id]
-	if r == nil || r.answered {
+	if r == nil || r.final {
 		return
 	}
-	n.deliverAnswer(r, a)
-	n.forgetIfDone(r)
+	n.settle(r, a)
+	n.release(r)
 }
 
-// deliverAnswer gives a request its one final answer. The lock is held.
-func (n *Node) deliverAnswer(r *request, a answer) {
-	r.answered = true
-	r.deadlineGuard.Stop()
+// settle gives a request its one final answer. The lock is held.
+func (n *Node) settle(r *request, a answer) {
+	r.final = true
+	r.guard.Stop()
 	r.answer <- a
 }
 
-// forgetIfDone forgets a request that is answered and has no attempt in flight. The lock is held.
-func (n *Node) forgetIfDone(r *request) {
-	if r.answered && r.attemptsInFlight == 0 && n.requests[r.id] == r {
+// release forgets a request that is answered and has no attempt in flight. The lock is held.
+func (n *Node) release(r *request) {
+	if r.final && r.out == 0 && n.requests[r.id] == r {
 		delete(n.requests, r.id)
 	}
 }
--- a/internal/edge/request_test.go
+++ b/internal/edge/request_test.go
@@ -173,7 +173,7 @@
 	r := startNode(t, testConfig(t))
 	req := &request{id: "x", deadline: time.Now().Add(100 * time.Millisecond), answer: make(chan answer, 1)}
 	r.node.mu.Lock()
-	req.deadlineGuard = r.node.afterFunc(time.Until(req.deadline)-deadlineGuardMargin, func() { r.node.expire(req) })
+	req.guard = r.node.after(time.Until(req.deadline)-deadlineGuardMargin, func() { r.node.expire(req) })
 	r.node.requests[req.id] = req
 	r.node.mu.Unlock()
 	select {
--- a/internal/edge/shutdown.go
+++ b/internal/edge/shutdown.go
@@ -69,7 +69,7 @@
 	select {
 	case err := <-served:
 		return fmt.Errorf("serving clients: %w", err)
-	case err := <-n.fatalError:
+	case err := <-n.failed:
 		return errors.Join(err, server.Close())
 	case <-ctx.Done():
 		return n.shutDown(server, served)
@@ -92,7 +92,7 @@
 	server.StopReading(time.Now().Add(n.phases.read))
 	failAt := requestedAt.Add(n.phases.answer)
 	n.mu.Lock()
-	n.afterFunc(time.Until(failAt), n.failPending)
+	n.after(time.Until(failAt), n.failPending)
 	n.mu.Unlock()
 	select {
 	case <-server.AllClosed():
@@ -106,7 +106,7 @@
 // failPending gives all open requests their final answer, as their process is about to
 // be killed. The lock is held.
 func (n *Node) failPending() {
-	n.rejecting = true
+	n.over = true
 	for _, r := range n.requests {
 		n.expire(r)
 	}
