--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// maxResponseHeadSize bounds a response's head and framing in bytes, interim
+	// maxResponseHeadBytes bounds a response's head and framing in bytes, interim
 	// responses included.
-	maxResponseHeadSize = 32 << 10
-	// maxBodySize bounds a response's body in bytes; longer ones are not passed on. The
+	maxResponseHeadBytes = 32 << 10
+	// maxBodyBytes bounds a response's body in bytes; longer ones are not passed on. The
 	// same bound holds for the bodies of requests.
-	maxBodySize = 64 << 10
+	maxBodyBytes = 64 << 10
 	// maxInterimResponses bounds the 1xx responses ahead of the final one.
 	maxInterimResponses = 8
 )
@@ -48,7 +48,7 @@
 		}
 		return Response{Outcome: policy.ConnectionLost}
 	}
-	c.limit.N = maxResponseHeadSize + maxBodySize
+	c.limit.N = maxResponseHeadBytes + maxBodyBytes
 	head, err := c.readHead()
 	if err != nil {
 		return Response{Outcome: policy.ConnectionLost}
@@ -84,7 +84,7 @@
 		return nil, err
 	case isInterim(head):
 		return nil, errInterimResponses
-	case head.ContentLength > maxBodySize:
+	case head.ContentLength > maxBodyBytes:
 		return nil, errBodyTooLong
 	case head.ContentLength < 0 && len(head.TransferEncoding) == 0:
 		return nil, errUnframedBody
@@ -97,11 +97,11 @@
 
 // readBody reads a response's body to its end.
 func readBody(head *http.Response) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(head.Body, maxBodySize+1))
+	body, err := io.ReadAll(io.LimitReader(head.Body, maxBodyBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxBodySize {
+	if len(body) > maxBodyBytes {
 		return nil, errBodyTooLong
 	}
 	return body, nil
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -39,8 +39,8 @@
 		{"truncated head", "HTTP/1.1 200 OK\r\nContent-", policy.ConnectionLost, false},
 		{"nothing", "", policy.ConnectionLost, false},
 		{"noise", "\x00\xff\x00\r\n\r\n", policy.ConnectionLost, false},
-		{"body too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", maxBodySize+1, strings.Repeat("x", maxBodySize+1)), policy.ConnectionLost, false},
-		{"head too long", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*(maxBodySize+maxResponseHeadSize)), policy.ConnectionLost, false},
+		{"body too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", maxBodyBytes+1, strings.Repeat("x", maxBodyBytes+1)), policy.ConnectionLost, false},
+		{"head too long", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*(maxBodyBytes+maxResponseHeadBytes)), policy.ConnectionLost, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			addr := startServer(t, func(conn net.Conn, _ *http.Request) bool {
