--- a/internal/edge/shutdown.go
+++ b/internal/edge/shutdown.go
@@ -7,6 +7,7 @@
 	"net"
 	"time"
 
+	"swiftpitch/internal/config"
 	"swiftpitch/internal/frontend"
 )
 
@@ -58,7 +59,7 @@
 	server := frontend.NewServer(ln, frontend.ServerConfig{
 		Handler:         n,
 		Tracker:         n.clients,
-		LongestDeadline: n.longestDeadline(),
+		LongestDeadline: longestDeadline(n.cfg.Settings),
 		Log:             n.log,
 	})
 	n.start()
@@ -69,7 +70,7 @@
 	select {
 	case err := <-served:
 		return fmt.Errorf("serving clients: %w", err)
-	case err := <-n.failed:
+	case err := <-n.fatalError:
 		return errors.Join(err, server.Close())
 	case <-ctx.Done():
 		return n.shutDown(server, served)
@@ -92,7 +93,7 @@
 	server.StopReading(time.Now().Add(n.phases.read))
 	failAt := requestedAt.Add(n.phases.answer)
 	n.mu.Lock()
-	n.after(time.Until(failAt), n.failPending)
+	n.afterFunc(time.Until(failAt), n.failPending)
 	n.mu.Unlock()
 	select {
 	case <-server.AllClosed():
@@ -106,17 +107,17 @@
 // failPending gives all open requests their final answer, as their process is about to
 // be killed. The lock is held.
 func (n *Node) failPending() {
-	n.over = true
+	n.rejecting = true
 	for _, r := range n.requests {
 		n.expire(r)
 	}
 }
 
 // longestDeadline is the longest that a client waits, over all classes.
-func (n *Node) longestDeadline() time.Duration {
+func longestDeadline(settings *config.Settings) time.Duration {
 	longest := time.Duration(0)
-	for _, c := range n.cfg.Settings.Classes {
-		longest = max(longest, c.Deadline)
+	for _, class := range settings.Classes {
+		longest = max(longest, class.Deadline)
 	}
 	return longest
 }
