--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -83,8 +83,8 @@
 	n.workers.Go(func() { n.runAttempt(ctx, a, conn, text) })
 }
 
-// attemptTimeout returns how long an attempt may take that starts now: until the cut
-// lead before the request's deadline, or less if the policy sets a timeout above 0.
+// attemptTimeout returns how long an attempt may take that starts now: until the margin
+// before the request's deadline, or less if the policy sets a timeout above 0.
 func (r *request) attemptTimeout(policyTimeout time.Duration, now time.Time) time.Duration {
 	timeout := r.deadline.Sub(now) - attemptDeadlineMargin
 	if policyTimeout != 0 {
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -5,6 +5,8 @@
 const (
 	// clientConnShare is the share of the descriptors that client connections may take.
 	clientConnShare = 0.42
+	// upstreamConnShare is the share of the descriptors that connections to endpoints may take.
+	upstreamConnShare = 0.42
 	// reservedDescriptors is what the process needs beside the connections of clients and to
 	// endpoints: its three streams, the runtime's two, the listener, a connection to discovery
 	// and to the counter at the old address and the new one, the configuration while it is
@@ -35,6 +37,15 @@
 	return maxConns(descriptors, clientConnShare)
 }
 
+// maxUpstreamConns is how many connections to endpoints there may be; descriptors is 0
+// where their number is not configured, and the result 0 leaves it to the pool.
+func maxUpstreamConns(descriptors int) int {
+	if descriptors <= 0 {
+		return 0
+	}
+	return maxConns(descriptors, upstreamConnShare)
+}
+
 // bodyMemory is how many bytes bodies in hand may take; memory is 0 where it is not
 // configured. One body of the largest size always fits.
 func bodyMemory(memory int64) int64 {
--- a/internal/edge/upstreamconn.go
+++ b/internal/edge/upstreamconn.go
@@ -7,18 +7,6 @@
 	"swiftpitch/internal/upstream"
 )
 
-// upstreamConnShare is the share of the descriptors that connections to endpoints may take.
-const upstreamConnShare = 0.42
-
-// maxUpstreamConns returns how many connections to endpoints there may be, by the
-// descriptors that the process may hold; 0 leaves it to the pool.
-func maxUpstreamConns(descriptors int) int {
-	if descriptors <= 0 {
-		return 0
-	}
-	return maxConns(descriptors, upstreamConnShare)
-}
-
 // acquireConn returns an idle connection to an endpoint. Where there is none the result
 // is nil with ok true: a slot for a new connection is reserved. ok is false if nothing
 // may start at the endpoint or the pool is full. The lock is held.
