--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -11,6 +11,10 @@
 	"swiftpitch/internal/upstream"
 )
 
+// attemptDeadlineMargin is how long before a request's deadline its attempts are given
+// up, so that the policy can still answer.
+const attemptDeadlineMargin = 15 * time.Millisecond
+
 // attempt is one attempt of a request at one endpoint. The node's lock guards it; its
 // goroutine reads without the lock only what is set before it starts (request, number,
 // endpoint, addr).
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -9,9 +9,6 @@
 )
 
 const (
-	// attemptDeadlineMargin is how long before a request's deadline its attempts are given
-	// up, so that the policy can still answer.
-	attemptDeadlineMargin = 15 * time.Millisecond
 	// deadlineGuardMargin is how long before a request's deadline it is failed if the
 	// policy has not ended it.
 	deadlineGuardMargin = 8 * time.Millisecond
