--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -40,7 +40,7 @@
 		{"nothing", "", policy.ConnectionLost, false},
 		{"noise", "\x00\xff\x00\r\n\r\n", policy.ConnectionLost, false},
 		{"body too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", maxBodyBytes+1, strings.Repeat("x", maxBodyBytes+1)), policy.ConnectionLost, false},
-		{"head too long", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*(maxBodyBytes+maxResponseHeadSize)), policy.ConnectionLost, false},
+		{"head too long", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*(maxBodyBytes+maxResponseHeadBytes)), policy.ConnectionLost, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			addr := startServer(t, func(conn net.Conn, _ *http.Request) bool {
