--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -14,6 +14,7 @@
 	Code    int    // HTTP status
 }
 
+// Error names the address and the status.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("discovery at %s: status %d", e.Address, e.Code)
 }
