--- a/cmd/edgenode/main.go
+++ b/cmd/edgenode/main.go
@@ -19,6 +19,7 @@
 	"syscall"
 
 	"swiftpitch/internal/config"
+	"swiftpitch/internal/discovery"
 	"swiftpitch/internal/edge"
 )
 
@@ -57,7 +58,7 @@
 	if err != nil {
 		return edge.Config{}, config.ProcessLimits{}, err
 	}
-	var known edge.List
+	var known discovery.List
 	if len(file.Known) > 0 {
 		if err := json.Unmarshal(file.Known, &known); err != nil {
 			err = &config.KeyError{Key: "known", Err: err}
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -1,9 +1,3 @@
-// Package node is the edge node round the decision module: it turns what
-// happens on the sockets into the module's events and carries out its actions.
-//
-// Each file has one job: node.go drives the module, clients.go is the listener,
-// servers.go makes the attempts, counter.go calls the counter and discovery.go
-// follows the list of app servers.
 package edge
 
 import (
@@ -11,37 +5,27 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"net/http"
 	"runtime/debug"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"swiftpitch/internal/config"
+	"swiftpitch/internal/counterclient"
+	"swiftpitch/internal/discovery"
+	"swiftpitch/internal/frontend"
 	"swiftpitch/internal/policy"
+	"swiftpitch/internal/upstream"
 )
 
-const (
-	// cutLead is how long before a request's deadline its attempts are given up,
-	// so that the module can still answer.
-	cutLead = 15 * time.Millisecond
-	// guardLead is how long before a request's deadline it is failed if the
-	// module has not ended it.
-	guardLead = 8 * time.Millisecond
-	// leaveLook is how long a request may have waited before it is worth a look whether its
-	// client is still there: no attempt may begin 0.1 s after that has gone.
-	leaveLook = 50 * time.Millisecond
-)
-
-// Config is what an edge node is told when it starts.
+// Config is what an edge node is started with.
 type Config struct {
 	Listen    string // address for clients
-	Discovery string // address of discovery
+	Discovery string // address of discovery; empty: the known list stays
 	Counter   string // address of the counter; empty: none
-	Seed      uint64
-	Sockets   int   // descriptors that the process may hold
-	Memory    int64 // bytes that it may take
-	Known     List
+	Seed      uint64 // of this incarnation's random numbers
+	Sockets   int    // descriptors that the process may hold; 0: not configured
+	Memory    int64  // bytes that it may take; 0: not configured
+	Known     discovery.List
 	Settings  *config.Settings
 }
 
@@ -50,106 +34,78 @@
 type Node struct {
 	cfg       Config
 	log       *slog.Logger
-	began     time.Time   // reading of the monotonic clock that epoch belongs to
-	epoch     policy.Time // Unix time at began
+	startedAt time.Time   // reading of the monotonic clock that epoch belongs to
+	epoch     policy.Time // Unix time at startedAt
 	ctx       context.Context
 	stop      context.CancelFunc
-	drain     drainTimes
-	pause     func(context.Context, time.Duration)                              // between calls to discovery
-	dial      func(ctx context.Context, network, addr string) (net.Conn, error) // to app servers
-	transport http.RoundTripper                                                 // of the calls to discovery
-	bodies    atomic.Int64                                                      // bytes of bodies that may still be taken in
-	worker    sync.WaitGroup                                                    // goroutines besides those of the listener
-
-	clients clientConns // locks for itself
-
-	mu       sync.Mutex
-	gateway  module
-	events   []policy.Event // to be stepped, oldest first
-	stepping bool
-	actions  []policy.Action
-	requests map[string]*request
-	pool     pool
-	draining bool
-	over     bool // all is answered: the process is about to be killed
-	closed   bool
-
-	watches   watchTimes
-	discovery string          // its address
-	watch     context.Context // ends when that address changes
-	rewatch   context.CancelFunc
-	counter   *counter
-	failed    chan error // takes the one error that ends the node
-}
-
-// module is what the driver needs of a [policy.Gateway].
-type module interface {
+	dial      func(ctx context.Context, network, addr string) (net.Conn, error) // to endpoints
+	workers   sync.WaitGroup                                                    // goroutines besides those of the listener
+
+	phases     shutdownPhases // of the graceful shutdown
+	parser     *frontend.Parser
+	memory     *frontend.MemoryBudget // for bodies, and for what is read ahead of answers
+	clients    *frontend.Tracker      // has a lock of its own
+	fatalError chan error             // takes the one error that ends the node
+
+	mu          sync.Mutex
+	gateway     policyGateway
+	events      []policy.Event // not yet stepped, oldest first
+	actions     []policy.Action
+	dispatching bool // events are being stepped
+	requests    map[string]*request
+	pool        *upstream.Pool
+	discovery   *discovery.Client
+	counter     *counterclient.Client // nil: there is no counter
+	draining    bool                  // a graceful shutdown has begun
+	rejecting   bool                  // all is answered, as the process is about to be killed
+	closed      bool                  // no event is stepped any more
+}
+
+// policyGateway is what a node needs of a [policy.Gateway].
+type policyGateway interface {
 	Step(now policy.Time, ev policy.Event, out []policy.Action) []policy.Action
 }
 
-// request is one client's request from its last byte to its final answer and
-// the end of its last attempt.
-type request struct {
-	id       string
-	head     []byte // the forwarded head up to the deadline's value
-	body     []byte
-	client   *clientConn // nil: not of a listener
-	came     time.Time   // when its last byte was read
-	deadline time.Time
-	window   time.Duration // for which repeats are dropped; 0: the class has no key
-	guard    *time.Timer
-	attempts []*attempt
-	out      int         // attempts without an outcome
-	final    bool        // answered, or the client is gone
-	answer   chan answer // takes the one final answer
-}
-
-// answer is a request's final answer.
-type answer struct {
-	status      int
-	body        []byte
-	contentType []string // of the body, if it was named
-	retryAfter  time.Duration
-}
-
-// New returns an edge node that has not yet opened any socket.
+// New returns an edge node that has not yet opened any socket. It fails on settings that the
+// policy does not take.
 func New(cfg Config, log *slog.Logger) (*Node, error) {
-	began := time.Now()
-	n := &Node{cfg: cfg, log: log, began: began, epoch: policy.Time(began.UnixNano()),
-		requests: map[string]*request{}, pause: pause, dial: (&net.Dialer{}).DialContext,
-		transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true},
-		failed:    make(chan error, 1), discovery: cfg.Discovery}
-	gw, err := policy.New(n.epoch, cfg.Settings.Policy(cfg.Seed))
+	startedAt := time.Now()
+	epoch := policy.Time(startedAt.UnixNano())
+	gateway, err := policy.New(epoch, cfg.Settings.Policy(cfg.Seed))
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	n.gateway = gw
-	n.watches = newWatchTimes(cfg.Settings)
-	n.drain = newDrainTimes(n.longestDeadline())
-	n.ctx, n.stop = context.WithCancel(context.Background())
-	n.pool = newPool(cfg.Settings, cfg.Sockets)
-	n.clients = clientConns{most: 512, open: map[net.Conn]*clientConn{}}
-	n.clients.room = &n.bodies
-	n.bodies.Store(64 << 20)
-	if cfg.Memory > 0 {
-		n.bodies.Store(max(int64(bodyShare*float64(cfg.Memory)), bodyMost))
-	}
-	if cfg.Sockets > 0 {
-		n.clients.most = connectionsMost(cfg.Sockets, clientShareOpen)
+	memory := frontend.NewMemoryBudget(bodyMemory(cfg.Memory))
+	n := &Node{
+		cfg:        cfg,
+		log:        log,
+		startedAt:  startedAt,
+		epoch:      epoch,
+		dial:       (&net.Dialer{}).DialContext,
+		phases:     newShutdownPhases(longestDeadline(cfg.Settings)),
+		parser:     frontend.NewParser(cfg.Settings),
+		memory:     memory,
+		clients:    frontend.NewTracker(maxClientConns(cfg.Sockets), memory),
+		fatalError: make(chan error, 1),
+		gateway:    gateway,
+		requests:   map[string]*request{},
+		pool:       upstream.NewPool(cfg.Settings, maxUpstreamConns(cfg.Sockets)),
 	}
+	n.ctx, n.stop = context.WithCancel(context.Background())
+	n.discovery = n.newDiscoveryClient(cfg.Discovery)
 	if cfg.Counter != "" {
-		n.counter = newCounter(n, cfg.Counter)
+		n.counter = n.newCounterClient(cfg.Counter)
 	}
 	return n, nil
 }
 
-// start begins to follow discovery and to serve the module's calls.
+// start begins to follow discovery and to execute the policy's actions.
 func (n *Node) start() {
 	n.applyList(n.cfg.Known, policy.CachedUpdate)
 	if n.cfg.Discovery != "" {
-		n.worker.Go(n.follow)
+		n.workers.Go(func() { n.discovery.Run(n.ctx) })
 	}
-	n.worker.Go(n.sweep)
+	n.workers.Go(n.evictIdleConns)
 }
 
 // close ends all that start began. No event is stepped afterwards.
@@ -157,28 +113,29 @@
 	n.stop()
 	n.mu.Lock()
 	n.closed = true
-	n.pool.closeAll()
+	n.pool.Close()
 	for _, r := range n.requests {
 		for _, a := range r.attempts {
 			a.abandon()
 		}
 	}
 	if n.counter != nil {
-		n.counter.fail(policy.ConnectFailed)
+		n.counter.Close()
 	}
 	n.mu.Unlock()
-	n.worker.Wait()
+	n.workers.Wait()
 }
 
-// sweep drops idle connections until the node stops.
-func (n *Node) sweep() {
-	tick := time.NewTicker(n.pool.idleLimit / 8)
-	defer tick.Stop()
+// evictIdleConns closes connections to endpoints that were idle for too long, until the node
+// stops.
+func (n *Node) evictIdleConns() {
+	ticker := time.NewTicker(n.pool.SweepInterval())
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 			n.mu.Lock()
-			n.pool.expire(time.Now())
+			n.pool.EvictExpired(time.Now())
 			n.mu.Unlock()
 		case <-n.ctx.Done():
 			return
@@ -186,68 +143,82 @@
 	}
 }
 
-// now reads the module's clock: the wall clock as it was at the start, moved on
+// now reads the policy's clock: the wall clock as it was at the start, moved on
 // by the monotonic one.
-func (n *Node) now() policy.Time { return n.epoch + time.Since(n.began) }
+func (n *Node) now() policy.Time { return n.epoch + time.Since(n.startedAt) }
 
-// post hands an event to the module and carries out what it decides. Events
+// dispatch hands an event to the policy and executes the actions that it returns. Events
 // that come up meanwhile wait their turn. The lock is held.
-func (n *Node) post(ev policy.Event) {
+func (n *Node) dispatch(ev policy.Event) {
 	n.events = append(n.events, ev)
-	if n.stepping || n.closed {
+	if n.dispatching || n.closed {
 		return
 	}
-	n.stepping = true
-	defer n.catch()
-	for i := 0; i < len(n.events); i++ {
+	n.dispatching = true
+	defer n.recoverPanic()
+	for i := 0; i < len(n.events); i++ { // executing an action may append an event
 		n.actions = n.gateway.Step(n.now(), n.events[i], n.actions[:0])
-		for _, a := range n.actions {
-			n.carryOut(a)
+		for _, action := range n.actions {
+			n.execute(action)
 		}
 	}
 	clear(n.events)
 	clear(n.actions)
-	n.events, n.stepping = n.events[:0], false
+	n.events = n.events[:0]
+	n.dispatching = false
 }
 
-// catch ends the node if the module panics. The HTTP library would catch that by
-// itself and leave a node that takes requests and never steps again.
-func (n *Node) catch() {
-	if p := recover(); p != nil {
-		n.log.Error("the module panicked", "panic", p, "stack", string(debug.Stack()))
-		n.closed = true
-		n.failed <- fmt.Errorf("the module panicked: %v", p)
+// recoverPanic ends the node if the policy panics. The HTTP library would recover from that
+// by itself and leave a node that receives requests and never steps again.
+func (n *Node) recoverPanic() {
+	cause := recover()
+	if cause == nil {
+		return
 	}
+	n.log.Error("the policy panicked", "panic", cause, "stack", string(debug.Stack()))
+	n.closed = true
+	n.fatalError <- fmt.Errorf("the policy panicked: %v", cause)
 }
 
-// carryOut does one action of the module.
-func (n *Node) carryOut(a policy.Action) {
-	switch a := a.(type) {
+// execute executes one action of the policy. The lock is held.
+func (n *Node) execute(action policy.Action) {
+	switch action := action.(type) {
 	case policy.StartAttempt:
-		n.send(a)
+		n.startAttempt(action)
 	case policy.CancelAttempt:
-		if r := n.requests[a.RequestID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
-			n.end(r.attempts[a.Attempt], policy.Canceled, policy.LoadReport{})
-		}
+		n.cancelAttempt(action)
 	case policy.Reject:
-		n.finish(a.RequestID, answer{status: statusRefused, retryAfter: a.RetryAfter})
+		n.finish(action.RequestID, answer{status: statusRejected, retryAfter: action.RetryAfter})
 	case policy.Fail:
-		n.finish(a.RequestID, answer{status: statusFailed})
+		n.finish(action.RequestID, answer{status: statusFailed})
 	case policy.AddToCounter:
-		n.count(a)
+		n.addToCounter(action)
 	case policy.StartTimer:
-		cookie := a.TimerID
-		n.after(a.After, func() { n.post(policy.TimerFired{TimerID: cookie}) })
+		n.startTimer(action.TimerID, action.After)
 	case policy.CheckHealth:
-		n.probe(a.Endpoint)
+		n.startHealthCheck(action.Endpoint)
 	case policy.WatchEndpoints: // discovery is followed throughout
 	default:
-		n.log.Error("action not known to the driver", "action", fmt.Sprintf("%T", a))
+		n.log.Error("unknown action of the policy", "action", fmt.Sprintf("%T", action))
 	}
 }
 
-// after runs f under the lock once d has passed, unless the node has stopped.
-func (n *Node) after(d time.Duration, f func()) *time.Timer {
+// cancelAttempt stops waiting for an attempt, if there is one of that number. The lock is held.
+func (n *Node) cancelAttempt(action policy.CancelAttempt) {
+	r := n.requests[action.RequestID]
+	if r == nil || action.Attempt < 0 || action.Attempt >= len(r.attempts) {
+		return
+	}
+	n.endAttempt(r.attempts[action.Attempt], policy.Canceled)
+}
+
+// startTimer notifies the policy once a time has passed.
+func (n *Node) startTimer(timerID uint64, after time.Duration) {
+	n.afterFunc(after, func() { n.dispatch(policy.TimerFired{TimerID: timerID}) })
+}
+
+// afterFunc runs f under the lock once d has passed, unless the node has closed.
+func (n *Node) afterFunc(d time.Duration, f func()) *time.Timer {
 	return time.AfterFunc(d, func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -256,92 +227,3 @@
 		}
 	})
 }
-
-// arrive takes a request whose last byte has come. It reports false, and takes
-// nothing, if a request of that id is open.
-func (n *Node) arrive(r *request, ev policy.RequestReceived) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.requests[r.id] != nil {
-		return false
-	}
-	r.answer = make(chan answer, 1)
-	if n.over {
-		r.final = true
-		r.answer <- answer{status: statusRefused}
-		return true
-	}
-	r.guard = n.after(time.Until(r.deadline)-guardLead, func() { n.expire(r) })
-	n.requests[r.id] = r
-	n.post(ev)
-	return true
-}
-
-// expire fails a request whose client is about to give up.
-func (n *Node) expire(r *request) {
-	if !r.final {
-		n.settle(r, answer{status: statusExpired})
-		n.post(policy.ClientDisconnected{RequestID: r.id})
-		n.release(r)
-	}
-}
-
-// leave notes that a request's client has gone.
-func (n *Node) leave(r *request) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.left(r)
-}
-
-// missed looks, before an attempt of a request that has waited, whether its client has
-// gone: who reads its connection may not have got round to that.
-func (n *Node) missed(r *request, now time.Time) {
-	if r.client != nil && !r.final && now.Sub(r.came) > leaveLook && r.client.gone() {
-		n.left(r)
-	}
-}
-
-// left is leave under the lock.
-func (n *Node) left(r *request) {
-	if !r.final {
-		n.settle(r, answer{})
-		n.post(policy.ClientDisconnected{RequestID: r.id})
-		n.release(r)
-	}
-}
-
-// finish carries out a final answer of the module.
-func (n *Node) finish(id string, a answer) {
-	if r := n.requests[id]; r != nil && !r.final {
-		n.settle(r, a)
-		n.release(r)
-	}
-}
-
-// settle gives a request its one final answer.
-func (n *Node) settle(r *request, a answer) {
-	r.final = true
-	r.guard.Stop()
-	r.answer <- a
-}
-
-// release forgets a request that is answered and has no attempt out.
-func (n *Node) release(r *request) {
-	if r.final && r.out == 0 && n.requests[r.id] == r {
-		delete(n.requests, r.id)
-	}
-}
-
-// end gives an attempt its one outcome and tells the module.
-func (n *Node) end(a *attempt, o policy.Outcome, report policy.LoadReport) {
-	if a.ended {
-		return
-	}
-	a.ended, a.unrun = true, o == policy.Overloaded || o == policy.ConnectFailed || o == policy.NotSent
-	a.abandon()
-	r := a.request
-	r.out--
-	n.post(policy.AttemptEnded{RequestID: r.id, Attempt: a.number, Endpoint: a.target, Outcome: o, Latency: time.Since(a.sent),
-		RequestDone: r.final, ActualUnits: a.units, Report: report})
-	n.release(r)
-}
