--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -8,10 +8,16 @@
 // time. Times never go backwards, and all randomness comes from [Settings.Seed]:
 // the same settings and events always give the same actions.
 //
-// Files are split by concern: event.go, action.go and settings.go are the interface;
-// gateway.go dispatches; admission.go, quota.go, sharedbucket.go, hardlimit.go,
-// countercalls.go and incarnation.go admit requests within a tenant's fleet-wide
-// quota; endpoint.go, balancer.go, latency.go, outlier.go, slowstart.go and throttle.go
-// choose endpoints and guard them; request.go, attempt.go, retry.go, hedge.go and
-// answer.go follow a request from its first attempt to its final answer.
+// Files are split by concern:
+//
+//   - The interface: event.go, action.go, settings.go, validate.go.
+//   - The gateway itself: gateway.go composes the rest and dispatches events; timers.go
+//     and stall.go keep its timers and notice that it stood still.
+//   - Admission within a tenant's fleet-wide quota: admission.go, tenant.go, quota.go,
+//     sparequota.go, sharedbucket.go, bucketreading.go, overquota.go, hardlimit.go,
+//     countercalls.go, incarnation.go.
+//   - Choice of endpoints: endpoint.go, balancer.go, latency.go, outlier.go,
+//     slowstart.go, throttle.go.
+//   - A request from its first attempt to its final answer: request.go, attempt.go,
+//     retry.go, hedge.go, answer.go.
 package policy
