--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// maxResponseHeadSize bounds a response's head and framing in bytes, interim
+	// maxResponseHeadBytes bounds a response's head and framing in bytes, interim
 	// responses included.
-	maxResponseHeadSize = 32 << 10
+	maxResponseHeadBytes = 32 << 10
 	// maxBodyBytes bounds a response's body in bytes; longer ones are not passed on. The
 	// same bound holds for the bodies of requests.
 	maxBodyBytes = 64 << 10
@@ -48,7 +48,7 @@
 		}
 		return Response{Outcome: policy.ConnectionLost}
 	}
-	c.limit.N = maxResponseHeadSize + maxBodyBytes
+	c.limit.N = maxResponseHeadBytes + maxBodyBytes
 	head, err := c.readHead()
 	if err != nil {
 		return Response{Outcome: policy.ConnectionLost}
