--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -80,8 +80,8 @@
 // where one rare long request is all that an endpoint has, so silence counts by the
 // unanswered attempts; usualLatency is in seconds.
 func (d *outlierDetector) detect(now Time, ep *endpoint, usualLatency float64) {
-	if ep.ejected {
-		return
+	if ep.ejected || ep.unanswered == 0 && ep.errorRate <= maxErrorRate {
+		return // the usual case comes first: this runs for every endpoint before each attempt
 	}
 	silence := (now - ep.silentSince).Seconds() * float64(min(ep.unanswered, maxUnanswered))
 	silent := silence > maxSilence*usualLatency
