--- a/internal/edge/leave_test.go
+++ b/internal/edge/disconnect_test.go
@@ -208,7 +208,10 @@
 // readOn waits until the node has read so many bytes ahead on its one connection.
 func readOn(r *rig, want int) {
 	r.t.Helper()
-	eventually(r.t, "the reading ahead", func() bool { return r.node.clients.Stats().ReadAheadBytes >= want })
+	eventually(r.t, "the reading ahead", func() bool {
+		stats := r.node.clients.Stats()
+		return stats.ReadAhead == 1 && stats.ReadAheadBytes >= want
+	})
 }
 
 // Guards what a client sends while its request is under way: it is kept in its order, up
--- a/internal/frontend/tracker.go
+++ b/internal/frontend/tracker.go
@@ -37,7 +37,8 @@
 	MaxConns       int // how many may be open
 	Open           int
 	Idle           int // answered, and nothing of the next request was read
-	ReadAheadBytes int // read ahead of the answers, and not yet consumed
+	ReadAhead      int // whose clients sent beyond a request in flight
+	ReadAheadBytes int // that those sent, and that are not yet consumed
 }
 
 // Stats returns a snapshot, for diagnosis and tests.
@@ -50,6 +51,7 @@
 			stats.Idle++
 		}
 		if ahead := c.readAhead.Load(); ahead != nil {
+			stats.ReadAhead++
 			stats.ReadAheadBytes += ahead.buffered()
 		}
 	}
