--- a/internal/policy/endpoint.go
+++ b/internal/policy/endpoint.go
@@ -71,7 +71,7 @@
 func (s *endpointSet) applyEntry(now Time, entry Endpoint) {
 	ep := s.byID[entry.ID]
 	if entry.State == Removed {
-		if ep != nil { // where it stood still binds the retries of what was sent to it
+		if ep != nil { // its place still binds the retries of what it may have run
 			ep.listed = false
 		}
 		return
@@ -107,9 +107,9 @@
 func (g *Gateway) subscribe(scope UpdateScope) {
 	switch scope {
 	case CachedUpdate:
-		g.do(WatchEndpoints{})
+		g.emit(WatchEndpoints{})
 	case FailedUpdate:
 		wait := min(g.set.SubscriptionTimeout/watchRetriesAllowed, maxWatchRetry)
-		g.wake(wait, func() { g.do(WatchEndpoints{}) })
+		g.startTimer(wait, func() { g.emit(WatchEndpoints{}) })
 	}
 }
--- a/internal/policy/incarnation.go
+++ b/internal/policy/incarnation.go
@@ -16,7 +16,7 @@
 	gatewayIndex int
 	startedAt    Time
 	requested    bool // loading has begun
-	none         bool // the counter holds no record of an earlier incarnation
+	first        bool // the counter holds no record of an earlier incarnation
 }
 
 // key is the record's counter key in the epoch of a time, or in one of the epochs before.
@@ -41,13 +41,13 @@
 	g.addToCounter(key, 0, recordTTL, func(reply CounterReplied) {
 		switch {
 		case reply.Outcome != Succeeded:
-			g.wake(recordRetry, func() { g.loadIncarnationRecord(epochsBefore) })
+			g.startTimer(recordRetry, func() { g.loadIncarnationRecord(epochsBefore) })
 			return
 		case reply.Total == 0 && epochsBefore == 0:
 			g.loadIncarnationRecord(1)
 			return
 		case reply.Total == 0:
-			g.incarnation.none = true
+			g.incarnation.first = true
 			for _, t := range g.tenants {
 				t.hardLimit.release()
 			}
@@ -60,5 +60,5 @@
 // may lose what it holds.
 func (g *Gateway) renewIncarnationRecord() {
 	g.addToCounter(g.incarnation.key(g.now, 0), 1, recordTTL, ignoreReply)
-	g.wake(recordRenewal, g.renewIncarnationRecord)
+	g.startTimer(recordRenewal, g.renewIncarnationRecord)
 }
--- a/internal/policy/sharedbucket.go
+++ b/internal/policy/sharedbucket.go
@@ -67,7 +67,7 @@
 	case t.requestSeen:
 		known = localShareLeft
 	}
-	if r.repeat {
+	if r.isRetry {
 		return known.forRetry()
 	}
 	return known
@@ -102,7 +102,7 @@
 func (c *sharedBucketCall) start() {
 	g := c.gateway
 	if c.held.waiting { // the reply may come later than is good for the request
-		g.wake(g.set.CounterTimeout, c.expired)
+		g.startTimer(g.set.CounterTimeout, c.expired)
 	}
 	g.addToCounter(c.key(), c.units, bucketTTL, c.replied)
 }
