--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -17,8 +17,8 @@
 	"swiftpitch/internal/upstream"
 )
 
-// forgotten waits until the node has noticed that the clients of all requests are gone.
-func forgotten(r *rig) {
+// awaitAllAnswered waits until the node has noticed that the clients of all requests have disconnected.
+func awaitAllAnswered(r *rig) {
 	r.t.Helper()
 	eventually(r.t, "the end of the request", func() bool {
 		r.node.mu.Lock()
@@ -32,8 +32,8 @@
 	})
 }
 
-// waiting waits until the node has taken a request.
-func waiting(r *rig) {
+// awaitRequest waits until the node has received a request.
+func awaitRequest(r *rig) {
 	r.t.Helper()
 	eventually(r.t, "the request", func() bool {
 		r.node.mu.Lock()
@@ -42,9 +42,9 @@
 	})
 }
 
-// Guards app servers against work that nobody waits for: the connection for a request
-// comes up just when its client has left, and nothing is written to it.
-func TestClientLeavesWhileTheConnectionComesUp(t *testing.T) {
+// Guards endpoints against work that nobody waits for: the connection for a request comes
+// up just after its client has disconnected, and nothing is written to it.
+func TestClientDisconnectsDuringTheDial(t *testing.T) {
 	for _, class := range []string{"lookup", "merge"} {
 		app := startApp(t, say(hello))
 		r := startNode(t, testConfig(t), app.addr)
@@ -53,13 +53,13 @@
 		io.WriteString(c, clientRequest(class, "00000000000000aa"))
 		<-begun
 		c.Close()
-		forgotten(r)
+		awaitAllAnswered(r)
 		close(up)
 		eventually(t, "the end of the attempt", func() bool {
 			r.node.mu.Lock()
 			defer r.node.mu.Unlock()
 			endpoint := r.node.pool.Endpoint("s-0")
-			return len(endpoint.IdleConns()) == 1 // unused, and good for the next
+			return len(endpoint.IdleConns()) == 1 // unused, and good for the next request
 		})
 		if resp, _ := r.dial().ask(clientRequest(class, "00000000000000bb")); resp.StatusCode != http.StatusOK {
 			t.Errorf("%s: the next request: status %d", class, resp.StatusCode)
@@ -70,9 +70,9 @@
 	}
 }
 
-// Guards app servers against work that nobody waits for: the counter's answer lets a
-// request in that waited for it, and its client has left.
-func TestClientLeavesDuringTheCallToTheCounter(t *testing.T) {
+// Guards endpoints against work that nobody waits for: the counter's response admits a
+// request that waited for it, and its client has disconnected.
+func TestClientDisconnectsDuringACounterCall(t *testing.T) {
 	app := startApp(t, say(hello))
 	calls, answer := make(chan string, 8), make(chan struct{})
 	counter := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
@@ -86,18 +86,18 @@
 	cfg.Settings.Service.CounterTimeout = patience // less than half of the request's time, or it would not wait
 	cfg.Settings.Classes[0].Deadline = 3 * patience
 	plan := &cfg.Settings.Plans[0]
-	plan.Rate, plan.Burst, plan.OverQuotaCost = 2, 4, 1 // so little that tries are placed by the counter
+	plan.Rate, plan.Burst, plan.OverQuotaCost = 2, 4, 1 // so little that requests are admitted by the shared bucket
 	r := startNode(t, cfg, app.addr)
 	c := r.dial()
 	io.WriteString(c, clientRequest("lookup", "00000000000000aa", "3000", "60000"))
 	if delta := <-calls; delta != "2" {
 		t.Fatalf("the counter is told %s", delta)
 	}
-	waiting(r)
+	awaitRequest(r)
 	c.Close()
-	forgotten(r)
+	awaitAllAnswered(r)
 	close(answer)
-	eventually(t, "the return of the units", func() bool { // the module has dealt with the answer by then
+	eventually(t, "the return of the units", func() bool { // the policy has dealt with the response by then
 		select {
 		case delta := <-calls:
 			return delta == "-2"
@@ -110,9 +110,9 @@
 	}
 }
 
-// Guards app servers against work that nobody waits for: an attempt ends in a way that
-// calls for another, and its client has left.
-func TestClientLeavesBeforeAFurtherAttempt(t *testing.T) {
+// Guards endpoints against work that nobody waits for: an attempt ends in a way that calls
+// for a retry, and its client has disconnected.
+func TestClientDisconnectsBeforeARetry(t *testing.T) {
 	let := make(chan struct{})
 	serve := func(c net.Conn, req *http.Request, body []byte) bool {
 		<-let
@@ -124,13 +124,13 @@
 	r := startNode(t, cfg, a.addr, b.addr)
 	ended := make(chan policy.Outcome, 8)
 	r.node.mu.Lock()
-	r.node.gateway = endings{policyGateway: r.node.gateway, got: ended}
+	r.node.gateway = outcomeRecorder{policyGateway: r.node.gateway, got: ended}
 	r.node.mu.Unlock()
 	c := r.dial()
 	io.WriteString(c, clientRequest("lookup", "00000000000000aa"))
 	eventually(t, "the attempt", func() bool { return len(a.requests())+len(b.requests()) == 1 })
 	c.Close()
-	forgotten(r)
+	awaitAllAnswered(r)
 	close(let)
 	if o := <-ended; o != policy.Overloaded {
 		t.Errorf("the attempt ends as %d", o)
@@ -140,13 +140,14 @@
 	}
 }
 
-// endings notes the outcomes of attempts once the module has dealt with them.
-type endings struct {
+// outcomeRecorder reports the outcomes of attempts once the policy has dealt with them, and
+// -1 for each attempt that it starts then.
+type outcomeRecorder struct {
 	policyGateway
 	got chan policy.Outcome
 }
 
-func (m endings) Step(now policy.Time, ev policy.Event, out []policy.Action) []policy.Action {
+func (m outcomeRecorder) Step(now policy.Time, ev policy.Event, out []policy.Action) []policy.Action {
 	out = m.policyGateway.Step(now, ev, out)
 	if e, ok := ev.(policy.AttemptEnded); ok {
 		for _, a := range out {
@@ -159,12 +160,12 @@
 	return out
 }
 
-// neverRan is what an app server says that has not begun a request.
-const neverRan = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
+// neverRanResponse is the response of an endpoint that did not run a request.
+const neverRanResponse = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 
-// Guards app servers against work that nobody waits for: the client has sent more than its
-// request, at which the library's own watch stops, and then goes.
-func TestClientLeavesAfterSendingMore(t *testing.T) {
+// Guards endpoints against work that nobody waits for: the client has sent more than its
+// request, at which the library's own watch stops, and then disconnects.
+func TestClientDisconnectsAfterSendingMore(t *testing.T) {
 	next := clientRequest("lookup", "00000000000000cc")
 	ends := map[string]func(*net.TCPConn){
 		"close":          func(c *net.TCPConn) { c.Close() },
@@ -178,7 +179,7 @@
 				let := make(chan struct{})
 				serve := func(c net.Conn, req *http.Request, body []byte) bool {
 					<-let
-					return say(neverRan)(c, req, body)
+					return say(neverRanResponse)(c, req, body)
 				}
 				a, b := startApp(t, serve), startApp(t, serve)
 				cfg := testConfig(t)
@@ -188,9 +189,9 @@
 				io.WriteString(c, clientRequest("lookup", "00000000000000aa"))
 				eventually(t, "the attempt", func() bool { return len(a.requests())+len(b.requests()) == 1 })
 				io.WriteString(c, text)
-				readOn(r, len(text)-1) // the first byte is with the library
+				awaitReadAhead(r, len(text)-1) // the first byte is with the library
 				end(c.Conn.(*net.TCPConn))
-				forgotten(r)
+				awaitAllAnswered(r)
 				close(let)
 				eventually(t, "the end of the attempt", func() bool {
 					r.node.mu.Lock()
@@ -205,8 +206,8 @@
 	}
 }
 
-// readOn waits until the node has read so many bytes ahead on its one connection.
-func readOn(r *rig, want int) {
+// awaitReadAhead waits until the node has read so many bytes ahead on its one connection.
+func awaitReadAhead(r *rig, want int) {
 	r.t.Helper()
 	eventually(r.t, "the reading ahead", func() bool {
 		stats := r.node.clients.Stats()
@@ -214,15 +215,15 @@
 	})
 }
 
-// Guards what a client sends while its request is under way: it is kept in its order, up
-// to a bound and to what the memory holds of it, and served once its turn comes.
+// Guards what a client sends while its request is in flight: it is kept in its order, up
+// to a bound and to what the memory budget allows, and served once its turn comes.
 func TestBytesReadAheadAreKept(t *testing.T) {
 	const (
 		readAheadChunk = 512                            // bytes that internal/frontend reads at a time
 		maxReadAhead   = 16<<10 + frontend.MaxBodyBytes // bytes that it keeps: one whole request
 		small          = 2 * readAheadChunk
 	)
-	for name, room := range map[string]int64{"room for all": 1 << 20, "little room": small} {
+	for name, room := range map[string]int64{"memory for all": 1 << 20, "little memory": small} {
 		t.Run(name, func(t *testing.T) {
 			let := make(chan struct{})
 			app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
@@ -249,7 +250,7 @@
 				_, err := io.WriteString(c, text.String())
 				wrote <- err
 			}()
-			readOn(r, int(min(room, maxReadAhead)))
+			awaitReadAhead(r, int(min(room, maxReadAhead)))
 			if left := r.node.memory.Free(); left < 0 || left > max(room-maxReadAhead+2*readAheadChunk, 0) {
 				t.Errorf("%d of %d bytes are left while %d are kept", left, room, maxReadAhead)
 			}
@@ -270,14 +271,14 @@
 				t.Errorf("app server got %d requests, want %d", k, n)
 			}
 			c.Close()
-			eventually(t, "the return of the room", func() bool { return r.node.memory.Free() == room })
+			eventually(t, "the release of the memory", func() bool { return r.node.memory.Free() == room })
 		})
 	}
 }
 
-// Guards a begun request that was read ahead when the word to stop comes: its connection
-// is not idle, and the request is served.
-func TestDrainCrossesBytesReadAhead(t *testing.T) {
+// Guards a begun request that was read ahead when the shutdown begins: its connection is not
+// idle, and the request is served.
+func TestShutdownCrossesBytesReadAhead(t *testing.T) {
 	let := make(chan struct{})
 	app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		<-let
@@ -290,7 +291,7 @@
 	eventually(t, "the attempt", func() bool { return len(app.requests()) == 1 })
 	next := clientRequest("lookup", "00000000000000bb")
 	io.WriteString(c, next[:40])
-	readOn(r, 39)
+	awaitReadAhead(r, 39)
 	close(let)
 	c.answer()
 	r.stop()
@@ -300,8 +301,8 @@
 	}
 }
 
-// begin hands the module a request without a listener. The lock is held.
-func (r *rig) begin(id string, conn *frontend.Conn) *request {
+// beginRequest hands the policy a request without a listener. The lock is held.
+func (r *rig) beginRequest(id string, conn *frontend.Conn) *request {
 	q := &request{id: id, conn: conn, receivedAt: time.Now().Add(-time.Second), deadline: time.Now().Add(patience),
 		answer: make(chan answer, 1), forwardHead: []byte("GET /lookup/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\nX-Expires-In-Ms: ")}
 	q.deadlineGuard = r.node.afterFunc(patience, func() {})
@@ -310,9 +311,9 @@
 	return q
 }
 
-// Guards app servers against work that nobody waits for: the module has told to send, on a
-// connection that rests, and before that is written the client is seen to have left.
-func TestClientLeavesBetweenTheWordAndTheSending(t *testing.T) {
+// Guards endpoints against work that nobody waits for: the policy has started an attempt, on
+// an idle connection, and before it is written the client is seen to have disconnected.
+func TestClientDisconnectsBeforeAnAttemptIsWritten(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		app := startApp(t, say(hello))
 		cfg := testConfig(t)
@@ -323,11 +324,11 @@
 		r.node.mu.Lock()
 		endpoint := r.node.pool.Endpoint("s-0")
 		if len(endpoint.IdleConns()) != 1 {
-			t.Fatalf("%d connections rest", len(endpoint.IdleConns()))
+			t.Fatalf("%d idle connections", len(endpoint.IdleConns()))
 		}
-		q := r.begin("00000000000000bb", nil)
+		q := r.beginRequest("00000000000000bb", nil)
 		if q.attemptsInFlight != 1 || len(endpoint.IdleConns()) != 0 {
-			t.Fatalf("%d attempts out, %d connections rest", q.attemptsInFlight, len(endpoint.IdleConns()))
+			t.Fatalf("%d attempts in flight, %d idle connections", q.attemptsInFlight, len(endpoint.IdleConns()))
 		}
 		r.node.clientDisconnectedLocked(q)
 		r.node.mu.Unlock()
@@ -342,9 +343,9 @@
 	}
 }
 
-// leftClient is a connection whose client has closed it, which nobody has read yet, and
-// the context of its requests.
-func (r *rig) leftClient() (context.Context, *frontend.Conn) {
+// disconnectedClient returns a connection whose client has closed it, which nobody has read
+// yet, and the context of its requests.
+func (r *rig) disconnectedClient() (context.Context, *frontend.Conn) {
 	r.t.Helper()
 	ln := listen(r.t)
 	client, err := net.Dial("tcp", ln.Addr().String())
@@ -360,22 +361,22 @@
 	ctx := tracker.ConnContext(context.Background(), nc)
 	conn := frontend.ConnFromContext(ctx)
 	if got := socket.Peek(conn.Conn); got != socket.Quiet {
-		r.t.Errorf("before the client leaves: %d", got)
+		r.t.Errorf("before the client disconnects: %d", got)
 	}
 	client.Close()
 	eventually(r.t, "the client's end", func() bool { return socket.Peek(conn.Conn) == socket.Closed })
 	return ctx, conn
 }
 
-// Guards app servers against work that nobody waits for where this process stood still: the
+// Guards endpoints against work that nobody waits for where this process was stalled: the
 // client has closed its connection, and who reads that has not got round to it when the
-// attempt of a request that has waited would be written, or when the request is taken.
-func TestClientHasLeftUnseen(t *testing.T) {
+// attempt of a request that has waited would be written, or when the request is received.
+func TestClientDisconnectedUnseen(t *testing.T) {
 	app := startApp(t, say(hello))
 	r := startNode(t, testConfig(t), app.addr)
-	_, conn := r.leftClient()
+	_, conn := r.disconnectedClient()
 	r.node.mu.Lock()
-	r.begin("00000000000000aa", conn)
+	r.beginRequest("00000000000000aa", conn)
 	r.node.mu.Unlock()
 	eventually(t, "the end of the attempt", func() bool {
 		r.node.mu.Lock()
@@ -389,10 +390,10 @@
 			}
 		}()
 		req := httptest.NewRequest(http.MethodGet, "/lookup/x", nil)
-		ctx, _ := r.leftClient()
+		ctx, _ := r.disconnectedClient()
 		req = req.WithContext(ctx)
 		req.Host = "x"
-		req.Header = usualHeader()
+		req.Header = lookupHeader()
 		r.node.ServeHTTP(httptest.NewRecorder(), req)
 	}()
 	if got := app.requests(); len(got) > 0 {
@@ -400,23 +401,23 @@
 	}
 }
 
-// Guards app servers against half a request: the client goes while it sends the body.
-func TestClientLeavesWithHalfABody(t *testing.T) {
+// Guards endpoints against half a request: the client disconnects while it sends the body.
+func TestClientDisconnectsWithinABody(t *testing.T) {
 	app := startApp(t, say(hello))
 	r := startNode(t, testConfig(t), app.addr)
 	c := r.dial()
 	text := clientRequest("merge", "00000000000000aa")
 	io.WriteString(c, text[:len(text)-5])
 	c.Conn.(*net.TCPConn).CloseWrite()
-	io.ReadAll(c.br) // until the node has done with it
+	io.ReadAll(c.br) // until the node has closed it
 	if got := app.requests(); len(got) > 0 {
 		t.Errorf("app server got %q", got)
 	}
 }
 
-// Guards what is owed to nobody: when the client has gone the attempt is called
-// off by closing its connection.
-func TestClientLeaves(t *testing.T) {
+// Guards endpoints against work that nobody waits for: when the client disconnects, the
+// attempt is canceled by closing its connection.
+func TestClientDisconnects(t *testing.T) {
 	gone := make(chan struct{})
 	app := startApp(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		c.SetReadDeadline(time.Now().Add(patience))
@@ -442,8 +443,8 @@
 	})
 }
 
-// Guards against an answer that no app server made: a client that ends its sending
-// has gone, and reads the end of the connection and nothing else.
+// Guards against a response that no endpoint gave: a client that ends its sending counts as
+// disconnected, and reads the end of the connection and nothing else.
 func TestClientEndsSending(t *testing.T) {
 	let := make(chan struct{})
 	t.Cleanup(func() { close(let) })
--- a/internal/edge/handler_test.go
+++ b/internal/edge/handler_test.go
@@ -13,8 +13,8 @@
 	"swiftpitch/internal/frontend"
 )
 
-// Guards the listener against what can't be served: it is answered 400 and
-// nothing of it reaches an app server.
+// Guards against malformed requests: they are answered 400 and nothing of them reaches an
+// endpoint.
 func TestMalformed(t *testing.T) {
 	app := startApp(t, say(hello))
 	r := startNode(t, testConfig(t), app.addr)
@@ -69,8 +69,8 @@
 }
 
 // Guards the bounds on the time for a request: they end a silent connection, half
-// a head and a body that never comes whole, and do not end a request that has
-// come and whose answer takes longer.
+// a head and a body that never comes whole, and do not end a request that was read
+// whole and whose response takes longer.
 func TestReadTimeout(t *testing.T) {
 	app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		time.Sleep(frontend.ReadTimeout + 100*time.Millisecond) // the work
@@ -96,9 +96,9 @@
 	}
 }
 
-// Guards against bodies that do not fit the memory together: what is over the
-// share is turned away unread, and there is room again once others are done.
-func TestBodiesInHand(t *testing.T) {
+// Guards against bodies that do not fit the memory together: what exceeds the budget is
+// rejected unread, and the memory is free again once other requests are done.
+func TestBodyMemoryBudget(t *testing.T) {
 	let := make(chan struct{})
 	app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool { <-let; return say(hello)(c, req, body) })
 	cfg := testConfig(t)
@@ -111,9 +111,9 @@
 	over := r.dial()
 	go io.WriteString(over, clientRequest("merge", "00000000000000bb", long...)) // may be cut short
 	if resp, _ := over.answer(); resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("over the share: status %d", resp.StatusCode)
+		t.Errorf("over the budget: status %d", resp.StatusCode)
 	}
-	small := r.dial() // usual bodies are not kept out by long ones
+	small := r.dial() // long bodies do not keep out the usual ones
 	io.WriteString(small, clientRequest("merge", "00000000000000dd"))
 	eventually(t, "the small request", func() bool { return len(app.requests()) == 2 })
 	close(let)
--- a/internal/edge/harness_test.go
+++ b/internal/edge/harness_test.go
@@ -51,7 +51,7 @@
 	return Config{Listen: "127.0.0.1:0", Settings: set, Seed: 7, Sockets: 256}
 }
 
-// startNode runs an edge node that knows app servers s-0, s-1, ... at addrs.
+// startNode runs an edge node that knows endpoints s-0, s-1, ... at addrs.
 func startNode(t *testing.T, cfg Config, addrs ...string) *rig {
 	t.Helper()
 	for i, a := range addrs {
@@ -118,12 +118,12 @@
 	return v
 }
 
-// appServer accepts connections and has each request on them answered by serve,
-// which reports whether the connection stays open.
+// appServer is an endpoint. It accepts connections and has each request on them answered by
+// serve, which reports whether the connection stays open.
 type appServer struct {
 	addr string
 	mu   sync.Mutex
-	seen []string // methods, URIs and ids of the requests that came whole
+	seen []string // methods, URIs and ids of the requests that were read whole
 }
 
 func startApp(t *testing.T, serve func(c net.Conn, req *http.Request, body []byte) bool) *appServer {
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Guards the limit on descriptors: clients that keep idle connections do not
-// keep others out; the connection that has been idle for longest makes room.
+// Guards the limit on client connections: clients that keep idle connections do not keep
+// others out; the connection that has been idle for longest is evicted.
 func TestClientLimit(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.Sockets = 22 // 6 more than are reserved, half of them for clients
@@ -38,7 +38,7 @@
 	}
 }
 
-// Guards the descriptors that neither clients nor app servers may take, also where there are few.
+// Guards the descriptors that connections to neither clients nor endpoints may take, also where there are few.
 func TestDescriptorsAreKept(t *testing.T) {
 	for _, sockets := range []int{24, 40, 64, 99, 256, 1024} {
 		cfg := testConfig(t)
@@ -49,7 +49,7 @@
 		}
 		clients := n.clients.Stats().MaxConns
 		if clients < 1 || n.pool.MaxConns() < 1 || clients+n.pool.MaxConns()+reservedDescriptors > sockets {
-			t.Errorf("of %d descriptors %d are for clients and %d for app servers", sockets, clients, n.pool.MaxConns())
+			t.Errorf("of %d descriptors %d are for clients and %d for endpoints", sockets, clients, n.pool.MaxConns())
 		}
 	}
 }
--- a/internal/edge/node_test.go
+++ b/internal/edge/node_test.go
@@ -8,16 +8,18 @@
 	"swiftpitch/internal/policy"
 )
 
-type panics struct{}
+type panickingGateway struct{}
 
-func (panics) Step(policy.Time, policy.Event, []policy.Action) []policy.Action { panic("test") }
+func (panickingGateway) Step(policy.Time, policy.Event, []policy.Action) []policy.Action {
+	panic("test")
+}
 
-// Guards against a node that goes on taking requests after its module has
-// panicked and never answers them: it ends with an error instead.
-func TestModulePanics(t *testing.T) {
+// Guards against a node that goes on receiving requests after its policy has panicked and
+// never answers them: it ends with an error instead.
+func TestPolicyPanics(t *testing.T) {
 	r := startNode(t, testConfig(t), startApp(t, say(hello)).addr)
 	r.node.mu.Lock()
-	r.node.gateway = panics{}
+	r.node.gateway = panickingGateway{}
 	r.node.mu.Unlock()
 	io.WriteString(r.dial(), clientRequest("lookup", "00000000000000aa"))
 	select {
--- a/internal/edge/request_test.go
+++ b/internal/edge/request_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// Guards the plain way through: each kind of class goes on unchanged, with the
-// time that is left, and the app server's body comes back unchanged, many times
-// over one client connection.
+// Guards the plain path of a request: each kind of class is forwarded unchanged, with the
+// remaining time, and the endpoint's body comes back unchanged, many times over one client
+// connection.
 func TestServes(t *testing.T) {
 	var mu sync.Mutex
 	heads := map[string]http.Header{}
@@ -81,9 +81,9 @@
 	}
 }
 
-// Guards a refusal by the module: it is answered at once, with advice, and no
-// attempt is made.
-func TestRefused(t *testing.T) {
+// Guards a rejection by the policy: it is answered at once, with Retry-After, and no
+// attempt is started.
+func TestRejected(t *testing.T) {
 	app := startApp(t, say(hello))
 	cfg := testConfig(t)
 	cfg.Settings.Plans[1].HardLimitRate, cfg.Settings.Plans[1].HardLimitBurst = 0.001, 0.001
@@ -97,8 +97,8 @@
 	}
 }
 
-// Guards rule 2: after a reset an unsafe request may have run, so it is neither
-// tried again nor refused; a harmless one is tried elsewhere.
+// Guards against running a request twice: after a reset one that is not idempotent may have
+// run, so it is neither retried nor rejected; an idempotent one is retried elsewhere.
 func TestReset(t *testing.T) {
 	reset := func(c net.Conn, _ *http.Request, _ []byte) bool { return false }
 	a, b := startApp(t, reset), startApp(t, reset)
@@ -115,8 +115,8 @@
 	}
 }
 
-// Guards work against being refused for errors that all app servers share: once
-// connections have broken everywhere, requests still go out, and the servers can
+// Guards requests against being rejected for faults that all endpoints share: once
+// connections have broken everywhere, requests are still forwarded, and the endpoints can
 // show that they serve.
 func TestBreaksEverywhere(t *testing.T) {
 	const breaks = 8
@@ -137,8 +137,8 @@
 	}
 }
 
-// Guards the last moment: an app server that says nothing does not keep the
-// client waiting past its time.
+// Guards the deadline: an endpoint that does not respond does not keep the client waiting
+// past it.
 func TestSilentServer(t *testing.T) {
 	app := startApp(t, func(net.Conn, *http.Request, []byte) bool { return true })
 	cfg := testConfig(t)
@@ -167,9 +167,9 @@
 	}
 }
 
-// Guards the last guard: a request that the module holds is failed shortly
-// before its client's time is up.
-func TestGuard(t *testing.T) {
+// Guards the deadline guard: a request that the policy does not end is failed shortly
+// before its deadline.
+func TestDeadlineGuard(t *testing.T) {
 	r := startNode(t, testConfig(t))
 	req := &request{id: "x", deadline: time.Now().Add(100 * time.Millisecond), answer: make(chan answer, 1)}
 	r.node.mu.Lock()
--- a/internal/edge/shutdown_test.go
+++ b/internal/edge/shutdown_test.go
@@ -13,9 +13,9 @@
 	"swiftpitch/internal/policy"
 )
 
-// Guards what is open when the process is about to be killed: it gets a whole final
-// answer, and the node ends by itself with nothing left open.
-func TestDrainAnswersBeforeTheKill(t *testing.T) {
+// Guards the requests that are open when the process is about to be killed: they get a whole
+// final answer, and the node ends by itself with nothing left open.
+func TestPendingRequestsFailBeforeTheKill(t *testing.T) {
 	app := startApp(t, func(net.Conn, *http.Request, []byte) bool { return true }) // never answers
 	r := startNode(t, testConfig(t), app.addr)
 	r.node.phases.answer = 50 * time.Millisecond // long before the request's own time is up
@@ -32,15 +32,15 @@
 	}
 	r.done <- nil
 	late := &request{id: "late"}
-	r.node.receive(late, arrived(late.id))
+	r.node.receive(late, receivedEvent(late.id))
 	if a := <-late.answer; a.status != statusRejected {
 		t.Errorf("a request that comes later is answered %d", a.status)
 	}
 }
 
 // Guards the time that open requests have: for each deadline it ends before SIGKILL may
-// come, and where the deadline is short a request taken last has all of its own time.
-func TestDrainTime(t *testing.T) {
+// come, and where the deadline is short a request received last has all of its own time.
+func TestShutdownPhases(t *testing.T) {
 	for _, longest := range []time.Duration{300 * time.Millisecond, 1100 * time.Millisecond, 2500 * time.Millisecond,
 		4 * time.Second, 30 * time.Second} {
 		kill := min(longest, 3*time.Second) + 700*time.Millisecond
@@ -48,14 +48,14 @@
 			t.Errorf("deadline %v: drained for %v, killed after %v", longest, got, kill)
 		}
 		if last := acceptDuration + longest; longest <= 3*time.Second && newShutdownPhases(longest).answer < last {
-			t.Errorf("deadline %v: drained for %v, requests taken by then may go on until %v", longest, newShutdownPhases(longest).answer, last)
+			t.Errorf("deadline %v: drained for %v, requests received by then may run until %v", longest, newShutdownPhases(longest).answer, last)
 		}
 	}
 }
 
 // Guards a request that comes in two parts with the end of the listener between them:
 // it is read to its end and served.
-func TestDrainReadsWhatIsOnItsWay(t *testing.T) {
+func TestShutdownReadsRequestsOnTheirWay(t *testing.T) {
 	r := startNode(t, testConfig(t), startApp(t, say(hello)).addr)
 	r.node.phases.read, r.node.phases.answer = patience, patience
 	text := clientRequest("merge", "00000000000000aa")
@@ -82,8 +82,8 @@
 }
 
 // Guards a request of which the first byte has been read on a kept connection when the
-// word to stop comes: the connection is not idle any more, and the request is served.
-func TestDrainCrossesARequestBegun(t *testing.T) {
+// shutdown begins: the connection is not idle any more, and the request is served.
+func TestShutdownCrossesARequestBegun(t *testing.T) {
 	r := startNode(t, testConfig(t), startApp(t, say(hello)).addr)
 	r.node.phases.read, r.node.phases.answer = patience, patience
 	c := r.dial()
@@ -101,7 +101,8 @@
 }
 
 // Guards against half of each when this side closes a connection that carries a
-// request: what comes after the close is not read, and what was read is not taken.
+// request: what was read before the close is dropped. That
+// nothing more is read is tested in internal/frontend.
 func TestCloseCrossesARequest(t *testing.T) {
 	app := startApp(t, say(hello))
 	r := startNode(t, testConfig(t), app.addr)
@@ -142,7 +143,7 @@
 		}()
 		req := httptest.NewRequest(http.MethodGet, "/lookup/x", nil).WithContext(ctx)
 		req.Host = "x"
-		req.Header = usualHeader()
+		req.Header = lookupHeader()
 		r.node.ServeHTTP(httptest.NewRecorder(), req)
 	}()
 	if got := app.requests(); len(got) > 0 {
@@ -150,21 +151,21 @@
 	}
 }
 
-// usualHeader is that of a request of the class lookup.
-func usualHeader() http.Header {
+// lookupHeader is the header of a request of the class lookup.
+func lookupHeader() http.Header {
 	return http.Header{"X-Trace-Id": {"00000000000000aa"}, "X-Qos": {"lookup"}, "Api-Plan": {"basic"},
 		"Api-Customer": {"00000000b4d65521"}, "X-Expires-In-Ms": {"3000"}, "Api-Terms": {"units=2,spread=2,first=1"}}
 }
 
-// arrived is the event of a usual request.
-func arrived(id string) policy.RequestReceived {
+// receivedEvent is the event of a usual request.
+func receivedEvent(id string) policy.RequestReceived {
 	return policy.RequestReceived{RequestID: id, Timeout: time.Second, Units: 1, TenantGateways: 1}
 }
 
-// Guards a planned restart: after the word to stop, new connections are still
-// served and told to close, what was taken is finished, an idle connection is
-// closed, and then the node ends with no error.
-func TestStop(t *testing.T) {
+// Guards a graceful shutdown: at first new connections are still served, with an announced
+// close, requests in flight are finished, an idle connection is closed, and then the node
+// ends with no error.
+func TestGracefulShutdown(t *testing.T) {
 	let := make(chan struct{})
 	app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		if req.Header.Get("X-Trace-Id") == "00000000000000aa" {
@@ -199,9 +200,9 @@
 	}
 }
 
-// Guards the end of a planned restart against connections on which nothing was
-// ever sent: they do not hold it up for the five seconds that the library waits.
-func TestStopWithSilentConnection(t *testing.T) {
+// Guards the end of a graceful shutdown against connections on which nothing was ever sent:
+// they do not delay it by the five seconds that the library waits.
+func TestShutdownWithSilentConnection(t *testing.T) {
 	r := startNode(t, testConfig(t), startApp(t, say(hello)).addr)
 	c := r.dial()
 	eventually(t, "the silent connection", func() bool { return r.node.clients.Stats().Open > 0 })
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards the connections that wait at the listener when it ends: they are accepted.
-func TestListenerTakesWhatWaits(t *testing.T) {
+func TestListenerAcceptsWhatWaits(t *testing.T) {
 	ln := listen(t)
 	l := NewListener(ln, NewTracker(1, NewMemoryBudget(testMemory)))
 	c, err := net.Dial("tcp", ln.Addr().String()) // the kernel accepts it
--- a/internal/frontend/tracker_test.go
+++ b/internal/frontend/tracker_test.go
@@ -29,7 +29,7 @@
 
 // Guards good clients against a crowd that says nothing or half a request: those
 // are evicted, not the connections on which whole requests came.
-func TestCrowd(t *testing.T) {
+func TestEvictionSparesProvenConns(t *testing.T) {
 	tracker := NewTracker(4, NewMemoryBudget(testMemory))
 	addr := startServer(t, tracker)
 	good := dial(t, addr)
