--- a/internal/edge/attempt_test.go
+++ b/internal/edge/attempt_test.go
@@ -12,16 +12,17 @@
 
 	"swiftpitch/internal/discovery"
 	"swiftpitch/internal/policy"
+	"swiftpitch/internal/testsupport"
 	"swiftpitch/internal/upstream"
 )
 
 // holdDials notifies of each dial to an endpoint that starts. Those that are to be held
 // succeed only once release is closed, whatever the dial timeout.
-func (r *rig) holdDials(held func() bool) (started <-chan struct{}, release chan<- struct{}) {
+func (h *harness) holdDials(held func() bool) (started <-chan struct{}, release chan<- struct{}) {
 	dialing, released := make(chan struct{}, 8), make(chan struct{})
-	r.node.mu.Lock()
-	defer r.node.mu.Unlock()
-	r.node.dial = func(_ context.Context, network, addr string) (net.Conn, error) {
+	h.node.mu.Lock()
+	defer h.node.mu.Unlock()
+	h.node.dial = func(_ context.Context, network, addr string) (net.Conn, error) {
 		dialing <- struct{}{}
 		if held() {
 			<-released
@@ -35,21 +36,21 @@
 // the endpoint began to drain, and the grace is over, just before the first byte would
 // be written.
 func TestDrainGraceEndsDuringDial(t *testing.T) {
-	app := startApp(t, say(hello))
-	r := startNode(t, testConfig(t), app.addr)
-	started, release := r.holdDials(func() bool { return true })
-	c := r.dial()
+	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	h := startNode(t, testConfig(t), endpoint.Addr)
+	started, release := h.holdDials(func() bool { return true })
+	c := h.dial()
 	io.WriteString(c, clientRequest("merge", "00000000000000aa"))
 	<-started
-	r.node.mu.Lock()
-	drainedAt := time.Now().Add(-r.node.cfg.Settings.Rules.DrainGrace)
-	r.node.pool.UpdateEndpoint(upstream.EndpointUpdate{ID: "s-0", Addr: app.addr, State: policy.Draining}, drainedAt)
-	r.node.mu.Unlock()
+	h.node.mu.Lock()
+	drainedAt := time.Now().Add(-h.node.cfg.Settings.Rules.DrainGrace)
+	h.node.pool.UpdateEndpoint(upstream.EndpointUpdate{ID: "s-0", Addr: endpoint.Addr, State: policy.Draining}, drainedAt)
+	h.node.mu.Unlock()
 	close(release)
-	if resp, _ := c.answer(); resp.StatusCode != http.StatusTooManyRequests { // it never ran
+	if resp, _ := c.readResponse(); resp.StatusCode != http.StatusTooManyRequests { // it never ran
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	if got := app.requests(); len(got) > 0 {
+	if got := endpoint.Requests(); len(got) > 0 {
 		t.Errorf("endpoint got %q", got)
 	}
 }
@@ -58,24 +59,24 @@
 // connection comes up late: the dedup window of the first attempt, which may have run,
 // is over just before the retry would be written.
 func TestDedupWindowEndsDuringDial(t *testing.T) {
-	fault := say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-	a, b := startApp(t, fault), startApp(t, fault)
-	r := startNode(t, testConfig(t), a.addr, b.addr)
-	started, release := r.holdDials(func() bool { return len(append(a.requests(), b.requests()...)) > 0 })
-	c := r.dial()
+	fault := testsupport.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
+	a, b := testsupport.StartFakeEndpoint(t, fault), testsupport.StartFakeEndpoint(t, fault)
+	h := startNode(t, testConfig(t), a.Addr, b.Addr)
+	started, release := h.holdDials(func() bool { return len(append(a.Requests(), b.Requests()...)) > 0 })
+	c := h.dial()
 	io.WriteString(c, clientRequest("save", "00000000000000aa"))
 	<-started
 	<-started // of the retry
-	r.node.mu.Lock()
-	for _, q := range r.node.requests {
+	h.node.mu.Lock()
+	for _, q := range h.node.requests {
 		q.attempts[0].startedAt = time.Now().Add(-q.dedupWindow)
 	}
-	r.node.mu.Unlock()
+	h.node.mu.Unlock()
 	close(release)
-	if resp, _ := c.answer(); resp.StatusCode != http.StatusBadGateway { // the first may have run
+	if resp, _ := c.readResponse(); resp.StatusCode != http.StatusBadGateway { // the first may have run
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	if got := append(a.requests(), b.requests()...); len(got) != 1 {
+	if got := append(a.Requests(), b.Requests()...); len(got) != 1 {
 		t.Errorf("endpoints got %q", got)
 	}
 }
@@ -87,32 +88,32 @@
 	var broken atomic.Bool
 	release := make(chan struct{})
 	defer close(release)
-	a := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
-		return !broken.Load() && say(hello)(c, req, body)
+	a := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+		return !broken.Load() && testsupport.RespondOK(c, req, body)
 	})
-	b := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	b := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		<-release
-		return say(hello)(c, req, body)
+		return testsupport.RespondOK(c, req, body)
 	})
-	r := startNode(t, testConfig(t), a.addr)
-	c := r.dial()
+	h := startNode(t, testConfig(t), a.Addr)
+	c := h.dial()
 	for i := range 40 { // the usual latency is learnt from these
-		c.ask(clientRequest("merge", fmt.Sprintf("%016x", i+1)))
+		c.roundTrip(clientRequest("merge", fmt.Sprintf("%016x", i+1)))
 	}
 	broken.Store(true)
-	c.ask(clientRequest("merge", "00000000000000aa"))
+	c.roundTrip(clientRequest("merge", "00000000000000aa"))
 	broken.Store(false)
-	r.node.applyList(discovery.List{Instances: []discovery.Instance{{ID: "s-1", HostPort: b.addr, Zone: "a", Lifecycle: "SERVING"}}},
+	h.node.applyList(discovery.List{Instances: []discovery.Instance{{ID: "s-1", HostPort: b.Addr, Zone: "a", Lifecycle: "SERVING"}}},
 		policy.IncrementalUpdate)
-	r.node.mu.Lock()
-	r.node.epoch += policy.Time(time.Minute)
-	r.node.mu.Unlock()
+	h.node.mu.Lock()
+	h.node.epoch += policy.Time(time.Minute)
+	h.node.mu.Unlock()
 	var busy [16]*client
 	for i := range busy {
-		busy[i] = r.dial()
+		busy[i] = h.dial()
 		io.WriteString(busy[i], clientRequest("merge", fmt.Sprintf("%016x", 1000+i)))
 	}
-	eventually(t, "a request for the endpoint that broke a connection", func() bool { return len(a.requests()) > 41 })
+	testsupport.Eventually(t, "a request for the endpoint that broke a connection", func() bool { return len(a.Requests()) > 41 })
 }
 
 // TestThirdRequestBesideTwo guards requests against being rejected for a queue that does
@@ -121,14 +122,14 @@
 func TestThirdRequestBesideTwo(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		<-release
-		return say(hello)(c, req, body)
+		return testsupport.RespondOK(c, req, body)
 	})
-	r := startNode(t, testConfig(t), app.addr)
+	h := startNode(t, testConfig(t), endpoint.Addr)
 	for i := range 3 {
-		io.WriteString(r.dial(), clientRequest("merge", fmt.Sprintf("%016x", i+1)))
-		eventually(t, fmt.Sprintf("request %d", i+1), func() bool { return len(app.requests()) == i+1 })
+		io.WriteString(h.dial(), clientRequest("merge", fmt.Sprintf("%016x", i+1)))
+		testsupport.Eventually(t, fmt.Sprintf("request %d", i+1), func() bool { return len(endpoint.Requests()) == i+1 })
 	}
 }
 
@@ -150,15 +151,15 @@
 // response reach the policy, ones that can't be read or are not plausible do not.
 func TestActualUnitsReachPolicy(t *testing.T) {
 	for text, want := range map[string]float64{"3": 3, "2.5": 2.5, "-1": 0, "NaN": 0, "1e9": 0, "999999": 0, "": 0} {
-		app := startApp(t, say("HTTP/1.1 200 OK\r\nApi-Charge: "+text+"\r\nContent-Length: 2\r\n\r\nok"))
+		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondWith("HTTP/1.1 200 OK\r\nApi-Charge: "+text+"\r\nContent-Length: 2\r\n\r\nok"))
 		cfg := testConfig(t)
 		cfg.Settings.Service.MaxRequestUnits = 6
-		r := startNode(t, cfg, app.addr)
-		recorder := actualUnitsRecorder{policyGateway: r.node.gateway, units: make(chan float64, 8)}
-		r.node.mu.Lock()
-		r.node.gateway = recorder
-		r.node.mu.Unlock()
-		if resp, _ := r.dial().ask(clientRequest("merge", "00000000000000aa")); resp.StatusCode != http.StatusOK {
+		h := startNode(t, cfg, endpoint.Addr)
+		recorder := actualUnitsRecorder{policyGateway: h.node.gateway, units: make(chan float64, 8)}
+		h.node.mu.Lock()
+		h.node.gateway = recorder
+		h.node.mu.Unlock()
+		if resp, _ := h.dial().roundTrip(clientRequest("merge", "00000000000000aa")); resp.StatusCode != http.StatusOK {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
 		if got := <-recorder.units; got != want {
--- a/internal/edge/connreuse_test.go
+++ b/internal/edge/connreuse_test.go
@@ -17,27 +17,28 @@
 	"time"
 
 	"swiftpitch/internal/discovery"
+	"swiftpitch/internal/testsupport"
 	"swiftpitch/internal/upstream"
 )
 
 // TestStaleConnection guards non-idempotent requests against stale connections: one that
 // the endpoint has closed while idle is not written to, which would end as a reset.
 func TestStaleConnection(t *testing.T) {
-	app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
-		say(hello)(c, req, body)
+	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+		testsupport.RespondOK(c, req, body)
 		return false // closes the connection without announcing it
 	})
-	r := startNode(t, testConfig(t), app.addr)
-	c := r.dial()
+	h := startNode(t, testConfig(t), endpoint.Addr)
+	c := h.dial()
 	for i := range 5 {
-		resp, _ := c.ask(clientRequest("merge", fmt.Sprintf("%016x", i)))
+		resp, _ := c.roundTrip(clientRequest("merge", fmt.Sprintf("%016x", i)))
 		if resp.StatusCode != http.StatusOK {
 			t.Fatalf("request %d: status %d", i, resp.StatusCode)
 		}
-		eventually(t, "the close of the idle connection", func() bool {
-			r.node.mu.Lock()
-			defer r.node.mu.Unlock()
-			idle := r.node.pool.Endpoint("s-0").IdleConns()
+		testsupport.Eventually(t, "the close of the idle connection", func() bool {
+			h.node.mu.Lock()
+			defer h.node.mu.Unlock()
+			idle := h.node.pool.Endpoint("s-0").IdleConns()
 			return len(idle) == 0 || !idle[0].IsQuiet()
 		})
 	}
@@ -47,15 +48,15 @@
 // rather than opened for each attempt.
 func TestKeepAlive(t *testing.T) {
 	ports := make(chan string, 8)
-	app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		ports <- c.RemoteAddr().String()
-		return say(hello)(c, req, body)
+		return testsupport.RespondOK(c, req, body)
 	})
-	r := startNode(t, testConfig(t), app.addr)
-	c := r.dial()
-	c.ask(clientRequest("merge", "0000000000000001"))
+	h := startNode(t, testConfig(t), endpoint.Addr)
+	c := h.dial()
+	c.roundTrip(clientRequest("merge", "0000000000000001"))
 	time.Sleep(2 * upstream.ReuseDelay)
-	c.ask(clientRequest("merge", "0000000000000002"))
+	c.roundTrip(clientRequest("merge", "0000000000000002"))
 	if a, b := <-ports, <-ports; a != b {
 		t.Errorf("connections %s and %s", a, b)
 	}
@@ -107,7 +108,7 @@
 			return
 		}
 		io.Copy(io.Discard, req.Body)
-		io.WriteString(conn, hello)
+		io.WriteString(conn, testsupport.OKResponse)
 		if seen.Add(1) == 1 {
 			time.Sleep(upstream.ReuseDelay / 3)
 			go io.WriteString(conn, duplicateResponse) // blocks until the other side reads it or closes
@@ -133,31 +134,31 @@
 func TestDuplicateResponseWhileIdle(t *testing.T) {
 	send := make(chan struct{})
 	var seen atomic.Int64
-	app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
-		say(hello)(c, req, body)
+	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+		testsupport.RespondOK(c, req, body)
 		if seen.Add(1) == 1 {
 			<-send
 			io.WriteString(c, duplicateResponse)
 		}
 		return true
 	})
-	r := startNode(t, testConfig(t), app.addr)
-	c := r.dial()
-	c.ask(clientRequest("merge", "0000000000000000"))
+	h := startNode(t, testConfig(t), endpoint.Addr)
+	c := h.dial()
+	c.roundTrip(clientRequest("merge", "0000000000000000"))
 	firstIdle := func(ok func(conn *upstream.Conn) bool) func() bool {
 		return func() bool {
-			r.node.mu.Lock()
-			defer r.node.mu.Unlock()
-			idle := r.node.pool.Endpoint("s-0").IdleConns()
+			h.node.mu.Lock()
+			defer h.node.mu.Unlock()
+			idle := h.node.pool.Endpoint("s-0").IdleConns()
 			return len(idle) == 1 && ok(idle[0])
 		}
 	}
-	eventually(t, "the idle connection", firstIdle((*upstream.Conn).IsQuiet))
+	testsupport.Eventually(t, "the idle connection", firstIdle((*upstream.Conn).IsQuiet))
 	close(send)
-	eventually(t, "the duplicate", firstIdle(func(conn *upstream.Conn) bool { return !conn.IsQuiet() }))
+	testsupport.Eventually(t, "the duplicate", firstIdle(func(conn *upstream.Conn) bool { return !conn.IsQuiet() }))
 	time.Sleep(upstream.ReuseDelay) // the delay alone would now allow the connection
 	for i := 1; i < 3; i++ {
-		if resp, body := c.ask(clientRequest("merge", fmt.Sprintf("%016x", i))); resp.StatusCode != http.StatusOK || body != "hello" {
+		if resp, body := c.roundTrip(clientRequest("merge", fmt.Sprintf("%016x", i))); resp.StatusCode != http.StatusOK || body != "hello" {
 			t.Errorf("request %d: status %d, body %q", i, resp.StatusCode, body)
 		}
 	}
--- a/internal/edge/counter_test.go
+++ b/internal/edge/counter_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"swiftpitch/internal/policy"
+	"swiftpitch/internal/testsupport"
 )
 
 // counterRecorder stands in for the policy and records the outcomes of counter calls, in
@@ -53,7 +54,7 @@
 // next returns the next outcome of a call.
 func (r *counterRecorder) next(t *testing.T) policy.CounterReplied {
 	t.Helper()
-	return receive(t, "the outcome of a call", r.replies)
+	return testsupport.Receive(t, "the outcome of a call", r.replies)
 }
 
 // testAdd makes a call as the policy would.
@@ -67,17 +68,17 @@
 func TestCounterCalls(t *testing.T) {
 	uris := make(chan string, 8)
 	total := 0
-	app := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		uris <- req.Method + " " + req.RequestURI
 		total++
 		if total == 3 {
-			return say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")(c, req, nil)
+			return testsupport.RespondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")(c, req, nil)
 		}
 		body := fmt.Sprint(total)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		return true
 	})
-	n := startCounterNode(t, app.addr, patience)
+	n := startCounterNode(t, counter.Addr, testsupport.MaxWait)
 	replies := recordCounter(n)
 	n.testAdd(1<<63-1, -2.5)
 	n.testAdd(6, 0)
@@ -97,21 +98,21 @@
 func TestCounterLateAnswer(t *testing.T) {
 	release := make(chan struct{})
 	calls := 0
-	app := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		if calls++; calls == 1 {
 			<-release
-			return say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n111")(c, req, nil)
+			return testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n111")(c, req, nil)
 		}
-		return say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n222")(c, req, nil)
+		return testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n222")(c, req, nil)
 	})
-	n := startCounterNode(t, app.addr, 20*time.Millisecond)
+	n := startCounterNode(t, counter.Addr, 20*time.Millisecond)
 	replies := recordCounter(n)
 	n.testAdd(1, 1)
-	eventually(t, "the first call", func() bool { return len(app.requests()) == 1 })
+	testsupport.Eventually(t, "the first call", func() bool { return len(counter.Requests()) == 1 })
 	if got := replies.next(t); got.Outcome != policy.TimedOut {
 		t.Errorf("first call: %+v", got)
 	}
-	n.cfg.Settings.Service.CounterTimeout = patience
+	n.cfg.Settings.Service.CounterTimeout = testsupport.MaxWait
 	n.testAdd(1, 1)
 	close(release)
 	if got := replies.next(t); got.Outcome != policy.Succeeded || got.Total != 222 {
@@ -123,11 +124,11 @@
 // settings' counter timeout, but not several of them, still counts.
 func TestCounterOverloaded(t *testing.T) {
 	const timeout = 250 * time.Millisecond
-	app := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		time.Sleep(timeout * 3 / 2)
-		return say("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7")(c, req, nil)
+		return testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7")(c, req, nil)
 	})
-	n := startCounterNode(t, app.addr, timeout)
+	n := startCounterNode(t, counter.Addr, timeout)
 	replies := recordCounter(n)
 	n.testAdd(1, 1)
 	if got := replies.next(t); got != (policy.CounterReplied{Key: 1, Total: 7}) {
@@ -138,17 +139,17 @@
 // Guards what the policy knows of the counter: without a connection nothing was added, and
 // a connection that breaks after the call may have added it.
 func TestCounterConnectionFails(t *testing.T) {
-	ln := listen(t)
+	ln := testsupport.Listen(t)
 	addr := ln.Addr().String()
 	ln.Close()
-	n := startCounterNode(t, addr, patience)
+	n := startCounterNode(t, addr, testsupport.MaxWait)
 	replies := recordCounter(n)
 	n.testAdd(1, 1)
 	if got := replies.next(t); got.Outcome != policy.ConnectFailed {
 		t.Errorf("refused: %+v", got)
 	}
-	app := startApp(t, func(net.Conn, *http.Request, []byte) bool { return false })
-	n = startCounterNode(t, app.addr, patience)
+	counter := testsupport.StartFakeEndpoint(t, func(net.Conn, *http.Request, []byte) bool { return false })
+	n = startCounterNode(t, counter.Addr, testsupport.MaxWait)
 	replies = recordCounter(n)
 	n.testAdd(1, 1)
 	if got := replies.next(t); got.Outcome != policy.TimedOut {
@@ -159,7 +160,7 @@
 // Guards the calls after a counter's machine has vanished: a connection that owes responses
 // for long is closed, and the next calls go over a new one.
 func TestCounterSilence(t *testing.T) {
-	ln := listen(t)
+	ln := testsupport.Listen(t)
 	first := true
 	go func() {
 		for {
@@ -185,7 +186,7 @@
 	}()
 	n := startCounterNode(t, ln.Addr().String(), 50*time.Millisecond)
 	replies := recordCounter(n)
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(testsupport.MaxWait); ; {
 		n.testAdd(1, 1)
 		if got := replies.next(t); got.Outcome == policy.Succeeded {
 			break
@@ -200,19 +201,19 @@
 // still delivers the responses that it owes, and is closed after the last of them.
 func TestCounterChangesAddress(t *testing.T) {
 	release, closed := make(chan struct{}), make(chan struct{})
-	old := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	old := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		<-release
-		say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n111")(c, req, nil)
+		testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n111")(c, req, nil)
 		io.Copy(io.Discard, c)
 		close(closed)
 		return false
 	})
-	fresh := startApp(t, say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n222"))
-	n := startCounterNode(t, old.addr, patience)
+	fresh := testsupport.StartFakeEndpoint(t, testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n222"))
+	n := startCounterNode(t, old.Addr, testsupport.MaxWait)
 	replies := recordCounter(n)
 	n.testAdd(1, 1)
-	eventually(t, "the first call", func() bool { return len(old.requests()) == 1 })
-	n.ChangeAddresses("", fresh.addr)
+	testsupport.Eventually(t, "the first call", func() bool { return len(old.Requests()) == 1 })
+	n.ChangeAddresses("", fresh.Addr)
 	n.testAdd(2, 1)
 	if got, want := replies.next(t), (policy.CounterReplied{Key: 2, Total: 222}); got != want {
 		t.Errorf("call to the new address: %+v", got)
@@ -221,11 +222,7 @@
 	if got, want := replies.next(t), (policy.CounterReplied{Key: 1, Total: 111}); got != want {
 		t.Errorf("response of the previous address: %+v", got)
 	}
-	select {
-	case <-closed:
-	case <-time.After(patience):
-		t.Error("the previous connection stays open")
-	}
+	testsupport.Receive(t, "the close of the previous connection", closed)
 }
 
 // Guards the totals against responses that are no number: such a call may have been added,
@@ -234,7 +231,7 @@
 func TestCounterInvalidTotal(t *testing.T) {
 	for _, body := range []string{"NaN", "Inf", "0x10", "1e400", "", "7 7"} {
 		calls, release := 0, make(chan struct{})
-		app := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+		counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 			text := "7"
 			if calls++; calls == 1 {
 				<-release
@@ -243,10 +240,10 @@
 			fmt.Fprintf(c, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 			return true
 		})
-		n := startCounterNode(t, app.addr, patience)
+		n := startCounterNode(t, counter.Addr, testsupport.MaxWait)
 		replies := recordCounter(n)
 		n.testAdd(1, 1)
-		eventually(t, "the first call", func() bool { return len(app.requests()) == 1 })
+		testsupport.Eventually(t, "the first call", func() bool { return len(counter.Requests()) == 1 })
 		close(release)
 		if got := replies.next(t); got.Key != 1 || got.Outcome != policy.TimedOut {
 			t.Errorf("%q: %+v", body, got)
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -14,16 +14,17 @@
 	"swiftpitch/internal/frontend"
 	"swiftpitch/internal/policy"
 	"swiftpitch/internal/socket"
+	"swiftpitch/internal/testsupport"
 	"swiftpitch/internal/upstream"
 )
 
 // awaitAllAnswered waits until the node has noticed that the clients of all requests have disconnected.
-func awaitAllAnswered(r *rig) {
-	r.t.Helper()
-	eventually(r.t, "the end of the request", func() bool {
-		r.node.mu.Lock()
-		defer r.node.mu.Unlock()
-		for _, q := range r.node.requests {
+func awaitAllAnswered(h *harness) {
+	h.t.Helper()
+	testsupport.Eventually(h.t, "the end of the request", func() bool {
+		h.node.mu.Lock()
+		defer h.node.mu.Unlock()
+		for _, q := range h.node.requests {
 			if !q.answered {
 				return false
 			}
@@ -33,39 +34,35 @@
 }
 
 // awaitRequest waits until the node has received a request.
-func awaitRequest(r *rig) {
-	r.t.Helper()
-	eventually(r.t, "the request", func() bool {
-		r.node.mu.Lock()
-		defer r.node.mu.Unlock()
-		return len(r.node.requests) == 1
-	})
+func awaitRequest(h *harness) {
+	h.t.Helper()
+	testsupport.Eventually(h.t, "the request", func() bool { return h.openRequests() == 1 })
 }
 
 // Guards endpoints against work that nobody waits for: the connection for a request comes
 // up just after its client has disconnected, and nothing is written to it.
 func TestClientDisconnectsDuringTheDial(t *testing.T) {
 	for _, class := range []string{"lookup", "merge"} {
-		app := startApp(t, say(hello))
-		r := startNode(t, testConfig(t), app.addr)
-		begun, up := r.holdDials(func() bool { return true })
-		c := r.dial()
+		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+		h := startNode(t, testConfig(t), endpoint.Addr)
+		started, release := h.holdDials(func() bool { return true })
+		c := h.dial()
 		io.WriteString(c, clientRequest(class, "00000000000000aa"))
-		<-begun
+		<-started
 		c.Close()
-		awaitAllAnswered(r)
-		close(up)
-		eventually(t, "the end of the attempt", func() bool {
-			r.node.mu.Lock()
-			defer r.node.mu.Unlock()
-			endpoint := r.node.pool.Endpoint("s-0")
+		awaitAllAnswered(h)
+		close(release)
+		testsupport.Eventually(t, "the end of the attempt", func() bool {
+			h.node.mu.Lock()
+			defer h.node.mu.Unlock()
+			endpoint := h.node.pool.Endpoint("s-0")
 			return len(endpoint.IdleConns()) == 1 // unused, and good for the next request
 		})
-		if resp, _ := r.dial().ask(clientRequest(class, "00000000000000bb")); resp.StatusCode != http.StatusOK {
+		if resp, _ := h.dial().roundTrip(clientRequest(class, "00000000000000bb")); resp.StatusCode != http.StatusOK {
 			t.Errorf("%s: the next request: status %d", class, resp.StatusCode)
 		}
-		if got := app.requests(); len(got) != 1 || got[0][len(got[0])-2:] != "bb" {
-			t.Errorf("%s: app server got %q", class, got)
+		if got := endpoint.Requests(); len(got) != 1 || got[0][len(got[0])-2:] != "bb" {
+			t.Errorf("%s: endpoint got %q", class, got)
 		}
 	}
 }
@@ -73,31 +70,31 @@
 // Guards endpoints against work that nobody waits for: the counter's response admits a
 // request that waited for it, and its client has disconnected.
 func TestClientDisconnectsDuringACounterCall(t *testing.T) {
-	app := startApp(t, say(hello))
+	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 	calls, answer := make(chan string, 8), make(chan struct{})
-	counter := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		calls <- req.URL.Query().Get("delta")
 		<-answer
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2")
 		return true
 	})
 	cfg := testConfig(t)
-	cfg.Counter, cfg.Settings.Service.CounterEnabled = counter.addr, true
-	cfg.Settings.Service.CounterTimeout = patience // less than half of the request's time, or it would not wait
-	cfg.Settings.Classes[0].Deadline = 3 * patience
+	cfg.Counter, cfg.Settings.Service.CounterEnabled = counter.Addr, true
+	cfg.Settings.Service.CounterTimeout = testsupport.MaxWait // less than half of the request's time, or it would not wait
+	cfg.Settings.Classes[0].Deadline = 3 * testsupport.MaxWait
 	plan := &cfg.Settings.Plans[0]
 	plan.Rate, plan.Burst, plan.OverQuotaCost = 2, 4, 1 // so little that requests are admitted by the shared bucket
-	r := startNode(t, cfg, app.addr)
-	c := r.dial()
+	h := startNode(t, cfg, endpoint.Addr)
+	c := h.dial()
 	io.WriteString(c, clientRequest("lookup", "00000000000000aa", "3000", "60000"))
 	if delta := <-calls; delta != "2" {
-		t.Fatalf("the counter is told %s", delta)
+		t.Fatalf("the counter call adds %s", delta)
 	}
-	awaitRequest(r)
+	awaitRequest(h)
 	c.Close()
-	awaitAllAnswered(r)
+	awaitAllAnswered(h)
 	close(answer)
-	eventually(t, "the return of the units", func() bool { // the policy has dealt with the response by then
+	testsupport.Eventually(t, "the return of the units", func() bool { // the policy has dealt with the response by then
 		select {
 		case delta := <-calls:
 			return delta == "-2"
@@ -105,38 +102,38 @@
 			return false
 		}
 	})
-	if got := app.requests(); len(got) > 0 {
-		t.Errorf("app server got %q", got)
+	if got := endpoint.Requests(); len(got) > 0 {
+		t.Errorf("endpoint got %q", got)
 	}
 }
 
 // Guards endpoints against work that nobody waits for: an attempt ends in a way that calls
 // for a retry, and its client has disconnected.
 func TestClientDisconnectsBeforeARetry(t *testing.T) {
-	let := make(chan struct{})
+	release := make(chan struct{})
 	serve := func(c net.Conn, req *http.Request, body []byte) bool {
-		<-let
-		return say("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")(c, req, body)
+		<-release
+		return testsupport.RespondWith(neverRanResponse)(c, req, body)
 	}
-	a, b := startApp(t, serve), startApp(t, serve)
+	a, b := testsupport.StartFakeEndpoint(t, serve), testsupport.StartFakeEndpoint(t, serve)
 	cfg := testConfig(t)
-	cfg.Settings.Limits.AllowCancel = false // the attempt stays out when its client leaves
-	r := startNode(t, cfg, a.addr, b.addr)
+	cfg.Settings.Limits.AllowCancel = false // the attempt stays in flight when its client disconnects
+	h := startNode(t, cfg, a.Addr, b.Addr)
 	ended := make(chan policy.Outcome, 8)
-	r.node.mu.Lock()
-	r.node.gateway = outcomeRecorder{policyGateway: r.node.gateway, got: ended}
-	r.node.mu.Unlock()
-	c := r.dial()
+	h.node.mu.Lock()
+	h.node.gateway = outcomeRecorder{policyGateway: h.node.gateway, got: ended}
+	h.node.mu.Unlock()
+	c := h.dial()
 	io.WriteString(c, clientRequest("lookup", "00000000000000aa"))
-	eventually(t, "the attempt", func() bool { return len(a.requests())+len(b.requests()) == 1 })
+	testsupport.Eventually(t, "the attempt", func() bool { return len(a.Requests())+len(b.Requests()) == 1 })
 	c.Close()
-	awaitAllAnswered(r)
-	close(let)
+	awaitAllAnswered(h)
+	close(release)
 	if o := <-ended; o != policy.Overloaded {
 		t.Errorf("the attempt ends as %d", o)
 	}
-	if got := append(a.requests(), b.requests()...); len(got) != 1 {
-		t.Errorf("app servers got %q", got)
+	if got := append(a.Requests(), b.Requests()...); len(got) != 1 {
+		t.Errorf("endpoints got %q", got)
 	}
 }
 
@@ -176,30 +173,26 @@
 		"a request": next, "more than fits one read": strings.Repeat(next, 20)} {
 		for how, end := range ends {
 			t.Run(extra+", "+how, func(t *testing.T) {
-				let := make(chan struct{})
+				release := make(chan struct{})
 				serve := func(c net.Conn, req *http.Request, body []byte) bool {
-					<-let
-					return say(neverRanResponse)(c, req, body)
+					<-release
+					return testsupport.RespondWith(neverRanResponse)(c, req, body)
 				}
-				a, b := startApp(t, serve), startApp(t, serve)
+				a, b := testsupport.StartFakeEndpoint(t, serve), testsupport.StartFakeEndpoint(t, serve)
 				cfg := testConfig(t)
-				cfg.Settings.Limits.AllowCancel = false // the attempt stays out when its client leaves
-				r := startNode(t, cfg, a.addr, b.addr)
-				c := r.dial()
+				cfg.Settings.Limits.AllowCancel = false // the attempt stays in flight when its client disconnects
+				h := startNode(t, cfg, a.Addr, b.Addr)
+				c := h.dial()
 				io.WriteString(c, clientRequest("lookup", "00000000000000aa"))
-				eventually(t, "the attempt", func() bool { return len(a.requests())+len(b.requests()) == 1 })
+				testsupport.Eventually(t, "the attempt", func() bool { return len(a.Requests())+len(b.Requests()) == 1 })
 				io.WriteString(c, text)
-				awaitReadAhead(r, len(text)-1) // the first byte is with the library
+				awaitReadAhead(h, len(text)-1) // the first byte is with the library
 				end(c.Conn.(*net.TCPConn))
-				awaitAllAnswered(r)
-				close(let)
-				eventually(t, "the end of the attempt", func() bool {
-					r.node.mu.Lock()
-					defer r.node.mu.Unlock()
-					return len(r.node.requests) == 0
-				})
-				if got := append(a.requests(), b.requests()...); len(got) != 1 {
-					t.Errorf("app servers got %q", got)
+				awaitAllAnswered(h)
+				close(release)
+				testsupport.Eventually(t, "the end of the attempt", func() bool { return h.openRequests() == 0 })
+				if got := append(a.Requests(), b.Requests()...); len(got) != 1 {
+					t.Errorf("endpoints got %q", got)
 				}
 			})
 		}
@@ -208,28 +201,28 @@
 
 // waitForReusableConn waits until an endpoint has one idle connection, which may take the
 // next request.
-func (r *rig) waitForReusableConn(endpointID string) *upstream.Endpoint {
-	r.t.Helper()
-	r.node.mu.Lock()
-	endpoint := r.node.pool.Endpoint(endpointID)
+func (h *harness) waitForReusableConn(endpointID string) *upstream.Endpoint {
+	h.t.Helper()
+	h.node.mu.Lock()
+	endpoint := h.node.pool.Endpoint(endpointID)
 	idle := endpoint.IdleConns()
 	if len(idle) != 1 {
-		r.node.mu.Unlock()
-		r.t.Fatalf("%d idle connections", len(idle))
+		h.node.mu.Unlock()
+		h.t.Fatalf("%d idle connections", len(idle))
 	}
 	idleSince := idle[0].IdleSince()
-	r.node.mu.Unlock()
-	eventually(r.t, "the end of the reuse delay", func() bool { return time.Since(idleSince) >= upstream.ReuseDelay })
+	h.node.mu.Unlock()
+	testsupport.Eventually(h.t, "the end of the reuse delay", func() bool { return time.Since(idleSince) >= upstream.ReuseDelay })
 	return endpoint
 }
 
 // beginRequest hands the policy a request without a listener. The lock is held.
-func (r *rig) beginRequest(id string, conn *frontend.Conn) *request {
-	q := &request{id: id, conn: conn, receivedAt: time.Now().Add(-time.Second), deadline: time.Now().Add(patience),
+func (h *harness) beginRequest(id string, conn *frontend.Conn) *request {
+	q := &request{id: id, conn: conn, receivedAt: time.Now().Add(-time.Second), deadline: time.Now().Add(testsupport.MaxWait),
 		answer: make(chan answer, 1), forwardHead: []byte("GET /lookup/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\nX-Expires-In-Ms: ")}
-	q.deadlineGuard = r.node.afterFunc(patience, func() {})
-	r.node.requests[id] = q
-	r.node.dispatch(policy.RequestReceived{RequestID: id, Tenant: 1, Timeout: patience, Units: 1, TenantGateways: 1})
+	q.deadlineGuard = h.node.afterFunc(testsupport.MaxWait, func() {})
+	h.node.requests[id] = q
+	h.node.dispatch(policy.RequestReceived{RequestID: id, Tenant: 1, Timeout: testsupport.MaxWait, Units: 1, TenantGateways: 1})
 	return q
 }
 
@@ -237,52 +230,52 @@
 // an idle connection, and before it is written the client is seen to have disconnected.
 func TestClientDisconnectsBeforeAnAttemptIsWritten(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		app := startApp(t, say(hello))
+		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 		cfg := testConfig(t)
 		cfg.Settings.Limits.AllowCancel = cancel
-		r := startNode(t, cfg, app.addr)
-		r.dial().ask(clientRequest("lookup", "00000000000000aa"))
-		endpoint := r.waitForReusableConn("s-0")
-		r.node.mu.Lock()
-		q := r.beginRequest("00000000000000bb", nil)
-		if q.attemptsInFlight != 1 || len(endpoint.IdleConns()) != 0 {
-			t.Fatalf("%d attempts in flight, %d idle connections", q.attemptsInFlight, len(endpoint.IdleConns()))
+		h := startNode(t, cfg, endpoint.Addr)
+		h.dial().roundTrip(clientRequest("lookup", "00000000000000aa"))
+		upstreamEndpoint := h.waitForReusableConn("s-0")
+		h.node.mu.Lock()
+		q := h.beginRequest("00000000000000bb", nil)
+		if q.attemptsInFlight != 1 || len(upstreamEndpoint.IdleConns()) != 0 {
+			t.Fatalf("%d attempts in flight, %d idle connections", q.attemptsInFlight, len(upstreamEndpoint.IdleConns()))
 		}
-		r.node.clientDisconnectedLocked(q)
-		r.node.mu.Unlock()
-		eventually(t, "the end of the attempt", func() bool {
-			r.node.mu.Lock()
-			defer r.node.mu.Unlock()
-			return len(r.node.requests) == 0 && (cancel && r.node.pool.OpenConns() == 0 || !cancel && len(endpoint.IdleConns()) == 1)
+		h.node.clientDisconnectedLocked(q)
+		h.node.mu.Unlock()
+		testsupport.Eventually(t, "the end of the attempt", func() bool {
+			h.node.mu.Lock()
+			defer h.node.mu.Unlock()
+			return len(h.node.requests) == 0 && (cancel && h.node.pool.OpenConns() == 0 || !cancel && len(upstreamEndpoint.IdleConns()) == 1)
 		})
-		if got := app.requests(); len(got) != 1 {
-			t.Errorf("cancelling %v: app server got %q", cancel, got)
+		if got := endpoint.Requests(); len(got) != 1 {
+			t.Errorf("cancelling %v: endpoint got %q", cancel, got)
 		}
 	}
 }
 
 // disconnectedClient returns a connection whose client has closed it, which nobody has read
 // yet, and the context of its requests.
-func (r *rig) disconnectedClient() (context.Context, *frontend.Conn) {
-	r.t.Helper()
-	ln := listen(r.t)
+func (h *harness) disconnectedClient() (context.Context, *frontend.Conn) {
+	h.t.Helper()
+	ln := testsupport.Listen(h.t)
 	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	tracker := frontend.NewTracker(1, frontend.NewMemoryBudget(0))
 	nc, err := frontend.NewListener(ln, tracker).Accept()
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { nc.Close() })
+	h.t.Cleanup(func() { nc.Close() })
 	ctx := tracker.ConnContext(context.Background(), nc)
 	conn := frontend.ConnFromContext(ctx)
 	if got := socket.Peek(conn.Conn); got != socket.Quiet {
-		r.t.Errorf("before the client disconnects: %d", got)
+		h.t.Errorf("before the client disconnects: %d", got)
 	}
 	client.Close()
-	eventually(r.t, "the client's end", func() bool { return socket.Peek(conn.Conn) == socket.Closed })
+	testsupport.Eventually(h.t, "the client's end", func() bool { return socket.Peek(conn.Conn) == socket.Closed })
 	return ctx, conn
 }
 
@@ -290,17 +283,13 @@
 // client has closed its connection, and who reads that has not got round to it when the
 // attempt of a request that has waited would be written, or when the request is received.
 func TestClientDisconnectedUnseen(t *testing.T) {
-	app := startApp(t, say(hello))
-	r := startNode(t, testConfig(t), app.addr)
-	_, conn := r.disconnectedClient()
-	r.node.mu.Lock()
-	r.beginRequest("00000000000000aa", conn)
-	r.node.mu.Unlock()
-	eventually(t, "the end of the attempt", func() bool {
-		r.node.mu.Lock()
-		defer r.node.mu.Unlock()
-		return len(r.node.requests) == 0
-	})
+	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	h := startNode(t, testConfig(t), endpoint.Addr)
+	_, conn := h.disconnectedClient()
+	h.node.mu.Lock()
+	h.beginRequest("00000000000000aa", conn)
+	h.node.mu.Unlock()
+	testsupport.Eventually(t, "the end of the attempt", func() bool { return h.openRequests() == 0 })
 	func() {
 		defer func() {
 			if p := recover(); p != http.ErrAbortHandler {
@@ -308,71 +297,66 @@
 			}
 		}()
 		req := httptest.NewRequest(http.MethodGet, "/lookup/x", nil)
-		ctx, _ := r.disconnectedClient()
+		ctx, _ := h.disconnectedClient()
 		req = req.WithContext(ctx)
 		req.Host = "x"
 		req.Header = lookupHeader()
-		r.node.ServeHTTP(httptest.NewRecorder(), req)
+		h.node.ServeHTTP(httptest.NewRecorder(), req)
 	}()
-	if got := app.requests(); len(got) > 0 {
-		t.Errorf("app server got %q", got)
+	if got := endpoint.Requests(); len(got) > 0 {
+		t.Errorf("endpoint got %q", got)
 	}
 }
 
 // Guards endpoints against half a request: the client disconnects while it sends the body.
 func TestClientDisconnectsWithinABody(t *testing.T) {
-	app := startApp(t, say(hello))
-	r := startNode(t, testConfig(t), app.addr)
-	c := r.dial()
+	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	h := startNode(t, testConfig(t), endpoint.Addr)
+	c := h.dial()
 	text := clientRequest("merge", "00000000000000aa")
 	io.WriteString(c, text[:len(text)-5])
 	c.Conn.(*net.TCPConn).CloseWrite()
-	io.ReadAll(c.br) // until the node has closed it
-	if got := app.requests(); len(got) > 0 {
-		t.Errorf("app server got %q", got)
+	io.ReadAll(c.reader) // until the node has closed it
+	if got := endpoint.Requests(); len(got) > 0 {
+		t.Errorf("endpoint got %q", got)
 	}
 }
 
 // Guards endpoints against work that nobody waits for: when the client disconnects, the
 // attempt is canceled by closing its connection.
 func TestClientDisconnects(t *testing.T) {
-	gone := make(chan struct{})
-	app := startApp(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
-		c.SetReadDeadline(time.Now().Add(patience))
+	closed := make(chan struct{})
+	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
+		c.SetReadDeadline(time.Now().Add(testsupport.MaxWait))
 		if _, err := c.Read(make([]byte, 1)); err == io.EOF {
-			close(gone)
+			close(closed)
 		}
 		return false
 	})
-	r := startNode(t, testConfig(t), app.addr)
-	c := r.dial()
+	h := startNode(t, testConfig(t), endpoint.Addr)
+	c := h.dial()
 	io.WriteString(c, clientRequest("merge", "00000000000000aa"))
-	eventually(t, "the attempt", func() bool { return len(app.requests()) == 1 })
+	testsupport.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
 	c.Close()
-	select {
-	case <-gone:
-	case <-time.After(patience):
-		t.Fatal("the attempt goes on")
-	}
-	eventually(t, "the end of the request", func() bool {
-		r.node.mu.Lock()
-		defer r.node.mu.Unlock()
-		return len(r.node.requests) == 0
-	})
+	testsupport.Receive(t, "the cancellation of the attempt", closed)
+	testsupport.Eventually(t, "the end of the request", func() bool { return h.openRequests() == 0 })
 }
 
 // Guards against a response that no endpoint gave: a client that ends its sending counts as
 // disconnected, and reads the end of the connection and nothing else.
 func TestClientEndsSending(t *testing.T) {
-	let := make(chan struct{})
-	t.Cleanup(func() { close(let) })
-	app := startApp(t, func(net.Conn, *http.Request, []byte) bool { <-let; return false })
-	r := startNode(t, testConfig(t), app.addr)
-	c := r.dial()
+	release := make(chan struct{})
+	t.Cleanup(func() { close(release) })
+	endpoint := testsupport.StartFakeEndpoint(t, func(net.Conn, *http.Request, []byte) bool {
+		<-release
+		return false
+	})
+	h := startNode(t, testConfig(t), endpoint.Addr)
+	c := h.dial()
 	io.WriteString(c, clientRequest("merge", "00000000000000aa"))
-	eventually(t, "the attempt", func() bool { return len(app.requests()) == 1 })
+	testsupport.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
 	c.Conn.(*net.TCPConn).CloseWrite()
-	if text, err := io.ReadAll(c.br); err != nil || len(text) > 0 {
+	if text, err := io.ReadAll(c.reader); err != nil || len(text) > 0 {
 		t.Errorf("read %q, %v", text, err)
 	}
 }
--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -14,6 +14,7 @@
 
 	"swiftpitch/internal/discovery"
 	"swiftpitch/internal/policy"
+	"swiftpitch/internal/testsupport"
 )
 
 // respondList sends a list of discovery and keeps the connection open.
@@ -66,18 +67,18 @@
 	}
 	lists := make(chan string)
 	uris := make(chan string, 16)
-	service := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		uris <- req.RequestURI
 		list, ok := <-lists
 		return ok && list != "" && respondList(c, list)
 	})
 	t.Cleanup(func() { close(lists) })
 	cfg := testConfig(t)
-	cfg.Discovery = service.addr
-	r := startNode(t, cfg)
+	cfg.Discovery = service.Addr
+	h := startNode(t, cfg)
 	expectServing := func(want string) {
 		t.Helper()
-		eventually(t, "the list "+want, func() bool { return r.node.servingAmong("a", "b", "c") == want })
+		testsupport.Eventually(t, "the list "+want, func() bool { return h.node.servingAmong("a", "b", "c") == want })
 	}
 	lists <- `{"generation":41,"reset":true,"instances":[` + entry("a", "SERVING") + "," + entry("b", "SERVING") + `]}`
 	expectServing("ab")
@@ -127,22 +128,22 @@
 	}
 	before, after := make(chan string, 16), make(chan string, 16)
 	cfg := testConfig(t)
-	cfg.Discovery = startApp(t, list("old", before)).addr
-	r := startNode(t, cfg)
+	cfg.Discovery = testsupport.StartFakeEndpoint(t, list("old", before)).Addr
+	h := startNode(t, cfg)
 	if first, watch := <-before, <-before; first != "/api/targets" || !strings.Contains(watch, "index=7") {
 		t.Fatalf("calls %q, %q", first, watch)
 	}
 	changedAt := time.Now()
-	r.node.ChangeAddresses(startApp(t, list("new", after)).addr, "")
+	h.node.ChangeAddresses(testsupport.StartFakeEndpoint(t, list("new", after)).Addr, "")
 	if first, watch := <-after, <-after; first != "/api/targets" || !strings.Contains(watch, "index=7") {
 		t.Errorf("calls at the new address %q, %q", first, watch)
 	}
 	if time.Since(changedAt) >= discovery.WatchLongPollWait {
 		t.Error("the previous watch was not canceled")
 	}
-	r.node.mu.Lock()
-	defer r.node.mu.Unlock()
-	if endpoints := maps.Collect(r.node.pool.Endpoints()); len(endpoints) != 1 || endpoints["new"] == nil {
+	h.node.mu.Lock()
+	defer h.node.mu.Unlock()
+	if endpoints := maps.Collect(h.node.pool.Endpoints()); len(endpoints) != 1 || endpoints["new"] == nil {
 		t.Errorf("endpoints %v", endpoints)
 	}
 }
@@ -150,17 +151,17 @@
 // Guards against forwarding to a process under another one's id: a new endpoint at the
 // address of one still listed takes its place, and gets connections of its own.
 func TestAddressTakenOver(t *testing.T) {
-	app := startApp(t, say(hello))
-	r := startNode(t, testConfig(t), app.addr)
-	r.dial().ask(clientRequest("merge", "00000000000000aa"))
-	r.node.applyList(discovery.List{Instances: []discovery.Instance{{ID: "s-new", HostPort: app.addr, Zone: "a", Lifecycle: "SERVING"}}},
+	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	h := startNode(t, testConfig(t), endpoint.Addr)
+	h.dial().roundTrip(clientRequest("merge", "00000000000000aa"))
+	h.node.applyList(discovery.List{Instances: []discovery.Instance{{ID: "s-new", HostPort: endpoint.Addr, Zone: "a", Lifecycle: "SERVING"}}},
 		policy.IncrementalUpdate)
-	r.node.mu.Lock()
-	if p := r.node.pool; p.Endpoint("s-0") != nil || p.Endpoint("s-new") == nil || p.ServingEndpoints() != 1 || p.OpenConns() != 0 {
+	h.node.mu.Lock()
+	if p := h.node.pool; p.Endpoint("s-0") != nil || p.Endpoint("s-new") == nil || p.ServingEndpoints() != 1 || p.OpenConns() != 0 {
 		t.Errorf("%d serving, %d connections, %v", p.ServingEndpoints(), p.OpenConns(), maps.Collect(p.Endpoints()))
 	}
-	r.node.mu.Unlock()
-	if resp, _ := r.dial().ask(clientRequest("merge", "00000000000000bb")); resp.StatusCode != http.StatusOK {
+	h.node.mu.Unlock()
+	if resp, _ := h.dial().roundTrip(clientRequest("merge", "00000000000000bb")); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
@@ -198,7 +199,7 @@
 // leaves each of them time until what it misses counts as notified.
 func TestFleetSpreadsItsCallsToDiscovery(t *testing.T) {
 	uris := make(chan string, 1024)
-	service := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		uris <- req.RequestURI
 		return respondUnavailable(c)
 	})
@@ -206,7 +207,7 @@
 	const window = discovery.MaxJitterWindow // 80 nodes would spread over longer than may be
 	quarters := [4]int{}                     // of the window, in which nodes make their first call
 	for seed := range uint64(fleet) {
-		cfg := newPollingConfig(t, service.addr, seed, fleet)
+		cfg := newPollingConfig(t, service.Addr, seed, fleet)
 		cfg.Known.Generation = 41
 		n := newIdleNode(t, cfg)
 		recorder := &pollRecorder{t: t, node: n, failures: failures, pausedAt: time.Now()}
@@ -237,12 +238,12 @@
 func TestWatchCallsAtOnce(t *testing.T) {
 	for _, grace := range []time.Duration{0, 150 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second} {
 		calls := make(chan string, 64)
-		service := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+		service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 			calls <- req.RequestURI
 			return respondUnavailable(c)
 		})
 		cfg := testConfig(t)
-		cfg.Discovery = service.addr
+		cfg.Discovery = service.Addr
 		cfg.Settings.Rules.DrainGrace = grace
 		cfg.Known.Instances = []discovery.Instance{{ID: "s-0", Lifecycle: discovery.Serving}}
 		n := newIdleNode(t, cfg)
@@ -276,7 +277,7 @@
 	silent := make(chan struct{})
 	t.Cleanup(func() { close(silent) })
 	var calls atomic.Int32
-	service := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		ports <- c.RemoteAddr().String()
 		switch calls.Add(1) {
 		case 1: // what is known is up to date
@@ -289,7 +290,7 @@
 			`[{"instanceId":"s-0","hostPort":"127.0.0.1:9","lifecycle":"DRAINING"}]}`)
 	})
 	cfg := testConfig(t)
-	cfg.Discovery = service.addr
+	cfg.Discovery = service.Addr
 	cfg.Known.Generation = 7
 	cfg.Known.Instances = knownInstances()
 	n := newIdleNode(t, cfg)
@@ -300,7 +301,7 @@
 	if _, first, second := <-ports, <-ports, <-ports; first == second {
 		t.Error("the new watch is on the connection that fell silent")
 	}
-	eventually(t, "the drain", func() bool {
+	testsupport.Eventually(t, "the drain", func() bool {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		endpoint := n.pool.Endpoint("s-0")
@@ -332,7 +333,7 @@
 	var calls atomic.Int32
 	silent, holds := make(chan struct{}), make(chan int, 64)
 	defer close(silent)
-	service := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		var ms int
 		fmt.Sscan(req.URL.Query().Get("wait"), &ms)
 		holds <- ms
@@ -343,7 +344,7 @@
 		respondList(c, `{"generation":8,"reset":false,"instances":[]}`)
 		return calls.Load() < 3
 	})
-	n := newIdleNode(t, newPollingConfig(t, service.addr, seed, 300))
+	n := newIdleNode(t, newPollingConfig(t, service.Addr, seed, 300))
 	n.discovery.Options.Timing.LongPollWait = hold
 	n.discovery.Options.Timing.SilenceMargin = hold
 	pauses := 0
@@ -378,7 +379,7 @@
 	for _, mode := range []string{"push", "ask"} {
 		var up atomic.Bool
 		calls := make(chan string, 1024)
-		service := startApp(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+		service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 			if up.Load() {
 				return respondList(c, `{"generation":8,"reset":true,"instances":`+
 					`[{"instanceId":"s-0","hostPort":"127.0.0.1:9","lifecycle":"SERVING"}]}`)
@@ -387,14 +388,14 @@
 			return respondUnavailable(c)
 		})
 		cfg := testConfig(t)
-		cfg.Discovery = service.addr
+		cfg.Discovery = service.Addr
 		cfg.Settings.DiscoveryMode = mode
-		r := startNode(t, cfg)
-		if uri := receive(t, "a call", calls); uri != "/api/targets" {
+		h := startNode(t, cfg)
+		if uri := testsupport.Receive(t, "a call", calls); uri != "/api/targets" {
 			t.Errorf("%s: the first call is %s", mode, uri)
 		}
 		ready := func() int {
-			resp, body := r.dial().ask("GET " + readyPath + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+			resp, body := h.dial().roundTrip("GET " + readyPath + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 			if body != "" {
 				t.Errorf("%s: says %q", mode, body)
 			}
@@ -404,6 +405,6 @@
 			t.Errorf("%s: status %d without a list", mode, status)
 		}
 		up.Store(true)
-		eventually(t, "readiness", func() bool { return ready() == http.StatusOK })
+		testsupport.Eventually(t, "readiness", func() bool { return ready() == http.StatusOK })
 	}
 }
--- a/internal/edge/handler_test.go
+++ b/internal/edge/handler_test.go
@@ -11,13 +11,14 @@
 	"time"
 
 	"swiftpitch/internal/frontend"
+	"swiftpitch/internal/testsupport"
 )
 
 // Guards against malformed requests: they are answered 400 and nothing of them reaches an
 // endpoint.
 func TestMalformed(t *testing.T) {
-	app := startApp(t, say(hello))
-	r := startNode(t, testConfig(t), app.addr)
+	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	h := startNode(t, testConfig(t), endpoint.Addr)
 	id := "00000000000000aa"
 	long := strings.Repeat("x", frontend.MaxBodyBytes+1)
 	for name, text := range map[string]string{
@@ -56,15 +57,15 @@
 		"noise":           "\x00\x01\x02\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := r.dial()
+			c := h.dial()
 			go io.WriteString(c, text) // may be cut short by the answer
-			if resp, _ := c.answer(); resp.StatusCode != http.StatusBadRequest {
+			if resp, _ := c.readResponse(); resp.StatusCode != http.StatusBadRequest {
 				t.Errorf("status %d", resp.StatusCode)
 			}
 		})
 	}
-	if got := app.requests(); len(got) > 0 {
-		t.Errorf("app server got %q", got)
+	if got := endpoint.Requests(); len(got) > 0 {
+		t.Errorf("endpoint got %q", got)
 	}
 }
 
@@ -72,25 +73,25 @@
 // a head and a body that never comes whole, and do not end a request that was read
 // whole and whose response takes longer.
 func TestReadTimeout(t *testing.T) {
-	app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		time.Sleep(frontend.ReadTimeout + 100*time.Millisecond) // the work
-		return say(hello)(c, req, body)
+		return testsupport.RespondOK(c, req, body)
 	})
-	r := startNode(t, testConfig(t), app.addr)
+	h := startNode(t, testConfig(t), endpoint.Addr)
 	whole := clientRequest("merge", "00000000000000aa", "X-Expires-In-Ms: 3000", "X-Expires-In-Ms: 4000")
-	good := r.dial()
+	good := h.dial()
 	io.WriteString(good, whole)
 	var bad []*client
 	for _, text := range []string{"", whole[:60], strings.Replace(whole, "0123456789", "012", 1)} {
-		c := r.dial()
+		c := h.dial()
 		io.WriteString(c, text)
 		bad = append(bad, c)
 	}
-	if resp, body := good.answer(); resp.StatusCode != http.StatusOK || body != "hello" {
+	if resp, body := good.readResponse(); resp.StatusCode != http.StatusOK || body != "hello" {
 		t.Errorf("status %d, body %q", resp.StatusCode, body)
 	}
 	for i, c := range bad {
-		if text, err := io.ReadAll(c.br); err != nil || i == 2 && !strings.HasPrefix(string(text), "HTTP/1.1 400") {
+		if text, err := io.ReadAll(c.reader); err != nil || i == 2 && !strings.HasPrefix(string(text), "HTTP/1.1 400") {
 			t.Errorf("bad client %d read %q, %v", i, text, err)
 		}
 	}
@@ -99,31 +100,34 @@
 // Guards against bodies that do not fit the memory together: what exceeds the budget is
 // rejected unread, and the memory is free again once other requests are done.
 func TestBodyMemoryBudget(t *testing.T) {
-	let := make(chan struct{})
-	app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool { <-let; return say(hello)(c, req, body) })
+	release := make(chan struct{})
+	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+		<-release
+		return testsupport.RespondOK(c, req, body)
+	})
 	cfg := testConfig(t)
 	cfg.Memory = frontend.MaxBodyBytes * 10 // one body of the largest size
-	r := startNode(t, cfg, app.addr)
-	first := r.dial()
+	h := startNode(t, cfg, endpoint.Addr)
+	first := h.dial()
 	long := []string{"Content-Length: 10", fmt.Sprintf("Content-Length: %d", frontend.MaxBodyBytes), "0123456789", strings.Repeat("z", frontend.MaxBodyBytes)}
 	io.WriteString(first, clientRequest("merge", "00000000000000aa", long...))
-	eventually(t, "the first request", func() bool { return len(app.requests()) == 1 })
-	over := r.dial()
+	testsupport.Eventually(t, "the first request", func() bool { return len(endpoint.Requests()) == 1 })
+	over := h.dial()
 	go io.WriteString(over, clientRequest("merge", "00000000000000bb", long...)) // may be cut short
-	if resp, _ := over.answer(); resp.StatusCode != http.StatusServiceUnavailable {
+	if resp, _ := over.readResponse(); resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("over the budget: status %d", resp.StatusCode)
 	}
-	small := r.dial() // long bodies do not keep out the usual ones
+	small := h.dial() // long bodies do not keep out the usual ones
 	io.WriteString(small, clientRequest("merge", "00000000000000dd"))
-	eventually(t, "the small request", func() bool { return len(app.requests()) == 2 })
-	close(let)
-	if resp, _ := small.answer(); resp.StatusCode != http.StatusOK {
+	testsupport.Eventually(t, "the small request", func() bool { return len(endpoint.Requests()) == 2 })
+	close(release)
+	if resp, _ := small.readResponse(); resp.StatusCode != http.StatusOK {
 		t.Errorf("small: status %d", resp.StatusCode)
 	}
-	if resp, _ := first.answer(); resp.StatusCode != http.StatusOK {
+	if resp, _ := first.readResponse(); resp.StatusCode != http.StatusOK {
 		t.Errorf("first: status %d", resp.StatusCode)
 	}
-	if resp, _ := r.dial().ask(clientRequest("merge", "00000000000000cc", long...)); resp.StatusCode != http.StatusOK {
+	if resp, _ := h.dial().roundTrip(clientRequest("merge", "00000000000000cc", long...)); resp.StatusCode != http.StatusOK {
 		t.Errorf("after it: status %d", resp.StatusCode)
 	}
 }
@@ -131,12 +135,12 @@
 // Guards bodies of the largest size in both directions.
 func TestLargeBody(t *testing.T) {
 	body := bytes.Repeat([]byte("z"), frontend.MaxBodyBytes)
-	app := startApp(t, func(c net.Conn, _ *http.Request, got []byte) bool {
+	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, _ *http.Request, got []byte) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(got), got)
 		return true
 	})
-	r := startNode(t, testConfig(t), app.addr)
-	resp, got := r.dial().ask(clientRequest("merge", "00000000000000aa", "Content-Length: 10",
+	h := startNode(t, testConfig(t), endpoint.Addr)
+	resp, got := h.dial().roundTrip(clientRequest("merge", "00000000000000aa", "Content-Length: 10",
 		fmt.Sprintf("Content-Length: %d", len(body)), "0123456789", string(body)))
 	if resp.StatusCode != http.StatusOK || got != string(body) {
 		t.Errorf("status %d, %d bytes", resp.StatusCode, len(got))
--- a/internal/edge/harness_test.go
+++ b/internal/edge/harness_test.go
@@ -9,17 +9,14 @@
 	"net"
 	"net/http"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
 	"swiftpitch/internal/config"
 	"swiftpitch/internal/discovery"
+	"swiftpitch/internal/testsupport"
 )
 
-// patience bounds every wait of these tests; none of them needs nearly as long.
-const patience = 20 * time.Second
-
 const testSettings = `{
  "classes": [
   {"name":"lookup","aim":2000000000,"deadline":4000000000,"effect":"repeatable","group":"all","value":2},
@@ -33,15 +30,16 @@
  "report": {"via":"silent"},
  "tiersOfService": [{"name":"basic","refill":1000,"depth":1000,"worthFactor":1},{"name":"none","refill":0.001,"depth":0.001,"worthFactor":1}]}`
 
-// rig is an edge node on loopback sockets.
-type rig struct {
+// harness is an edge node on loopback sockets.
+type harness struct {
 	t    *testing.T
 	node *Node
 	addr string
-	stop context.CancelFunc
-	done chan error
+	stop context.CancelFunc // begins the graceful shutdown
+	done chan error         // receives the error with which the node ended
 }
 
+// testConfig returns the configuration of a node that knows no endpoints.
 func testConfig(t *testing.T) Config {
 	t.Helper()
 	set, err := config.Decode([]byte(testSettings))
@@ -52,131 +50,59 @@
 }
 
 // startNode runs an edge node that knows endpoints s-0, s-1, ... at addrs.
-func startNode(t *testing.T, cfg Config, addrs ...string) *rig {
+func startNode(t *testing.T, cfg Config, addrs ...string) *harness {
 	t.Helper()
-	for i, a := range addrs {
+	for i, addr := range addrs {
 		cfg.Known.Instances = append(cfg.Known.Instances,
-			discovery.Instance{ID: fmt.Sprintf("s-%d", i), HostPort: a, Zone: "a", Lifecycle: "SERVING", Weight: 1})
+			discovery.Instance{ID: fmt.Sprintf("s-%d", i), HostPort: addr, Zone: "a", Lifecycle: "SERVING", Weight: 1})
 	}
-	n, err := New(cfg, slog.New(slog.DiscardHandler))
+	node, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.phases.accept = 10 * time.Millisecond
-	ln := listen(t)
+	node.phases.accept = 10 * time.Millisecond
+	listener := testsupport.Listen(t)
 	ctx, stop := context.WithCancel(context.Background())
-	r := &rig{t: t, node: n, addr: ln.Addr().String(), stop: stop, done: make(chan error, 1)}
+	h := &harness{t: t, node: node, addr: listener.Addr().String(), stop: stop, done: make(chan error, 1)}
 	ended := make(chan struct{})
-	go func() { r.done <- n.serve(ctx, ln); close(ended) }()
+	go func() {
+		h.done <- node.serve(ctx, listener)
+		close(ended)
+	}()
 	t.Cleanup(func() {
 		stop()
 		select {
 		case <-ended:
-		case <-time.After(patience):
+		case <-time.After(testsupport.MaxWait):
 			t.Error("the node does not stop")
 		}
 	})
-	eventually(t, "readiness", func() bool {
-		resp, err := http.Get("http://" + r.addr + readyPath)
+	h.awaitReady(len(addrs) == 0)
+	return h
+}
+
+// awaitReady waits until the node answers that it is ready, or, where it need not be ready,
+// until it answers at all.
+func (h *harness) awaitReady(anyStatus bool) {
+	h.t.Helper()
+	testsupport.Eventually(h.t, "readiness", func() bool {
+		resp, err := http.Get("http://" + h.addr + readyPath)
 		if err != nil {
 			return false
 		}
 		resp.Body.Close()
-		return resp.StatusCode == http.StatusOK || len(addrs) == 0
+		return resp.StatusCode == http.StatusOK || anyStatus
 	})
 	http.DefaultClient.CloseIdleConnections()
-	return r
-}
-
-func listen(t *testing.T) *net.TCPListener {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	return ln.(*net.TCPListener)
 }
 
-func eventually(t *testing.T, what string, ok func() bool) {
-	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("%s: not within %v", what, patience)
-		}
-	}
-}
-
-// receive takes what is sent to a channel, or sees it closed.
-func receive[T any](t *testing.T, what string, from <-chan T) (v T) {
-	t.Helper()
-	select {
-	case v = <-from:
-	case <-time.After(patience):
-		t.Fatalf("%s: not within %v", what, patience)
-	}
-	return v
+// openRequests returns the number of requests that the node holds.
+func (h *harness) openRequests() int {
+	h.node.mu.Lock()
+	defer h.node.mu.Unlock()
+	return len(h.node.requests)
 }
 
-// appServer is an endpoint. It accepts connections and has each request on them answered by
-// serve, which reports whether the connection stays open.
-type appServer struct {
-	addr string
-	mu   sync.Mutex
-	seen []string // methods, URIs and ids of the requests that were read whole
-}
-
-func startApp(t *testing.T, serve func(c net.Conn, req *http.Request, body []byte) bool) *appServer {
-	t.Helper()
-	ln := listen(t)
-	s := &appServer{addr: ln.Addr().String()}
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			t.Cleanup(func() { c.Close() })
-			go func() {
-				defer c.Close()
-				br := bufio.NewReader(c)
-				for {
-					req, err := http.ReadRequest(br)
-					if err != nil {
-						return
-					}
-					body, err := io.ReadAll(req.Body)
-					if err != nil {
-						return
-					}
-					s.mu.Lock()
-					s.seen = append(s.seen, req.Method+" "+req.RequestURI+" "+req.Header.Get("X-Trace-Id"))
-					s.mu.Unlock()
-					if !serve(c, req, body) {
-						return
-					}
-				}
-			}()
-		}
-	}()
-	return s
-}
-
-func (s *appServer) requests() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return append([]string(nil), s.seen...)
-}
-
-func say(text string) func(net.Conn, *http.Request, []byte) bool {
-	return func(c net.Conn, _ *http.Request, _ []byte) bool {
-		_, err := io.WriteString(c, text)
-		return err == nil
-	}
-}
-
-const hello = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
-
 // clientRequest is a well-formed request; edits replace parts of its text.
 func clientRequest(class, id string, edits ...string) string {
 	method, key, body := "GET", "", ""
@@ -200,32 +126,29 @@
 type client struct {
 	t *testing.T
 	net.Conn
-	br *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (r *rig) dial() *client {
-	r.t.Helper()
-	c, err := net.Dial("tcp", r.addr)
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	r.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
-	return &client{t: r.t, Conn: c, br: bufio.NewReader(c)}
+// dial opens a client's connection to the node.
+func (h *harness) dial() *client {
+	h.t.Helper()
+	conn := testsupport.Dial(h.t, h.addr)
+	return &client{t: h.t, Conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// ask sends a request as it stands and reads one answer.
-func (c *client) ask(text string) (*http.Response, string) {
+// roundTrip sends the text of a request as it stands and reads one response.
+func (c *client) roundTrip(text string) (*http.Response, string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		c.t.Fatal(err)
 	}
-	return c.answer()
+	return c.readResponse()
 }
 
-func (c *client) answer() (*http.Response, string) {
+// readResponse reads one response and returns its body as well.
+func (c *client) readResponse() (*http.Response, string) {
 	c.t.Helper()
-	resp, err := http.ReadResponse(c.br, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -8,6 +8,8 @@
 	"os"
 	"testing"
 	"time"
+
+	"swiftpitch/internal/testsupport"
 )
 
 // Guards the limit on client connections: clients that keep idle connections do not keep
@@ -15,29 +17,29 @@
 func TestClientLimit(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.Sockets = 22 // 6 more than are reserved, half of them for clients
-	r := startNode(t, cfg, startApp(t, say(hello)).addr)
-	if limit := r.node.clients.Stats().MaxConns; limit != 3 {
+	h := startNode(t, cfg, testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
+	if limit := h.node.clients.Stats().MaxConns; limit != 3 {
 		t.Fatalf("the limit is %d connections, want 3", limit)
 	}
-	eventually(t, "the end of the connections before", func() bool { return r.node.clients.Stats().Open == 0 })
+	testsupport.Eventually(t, "the end of the connections before", func() bool { return h.node.clients.Stats().Open == 0 })
 	var all []*client
 	for i := range 4 {
-		c := r.dial()
+		c := h.dial()
 		all = append(all, c)
-		if resp, _ := c.ask(clientRequest("lookup", fmt.Sprintf("%016x", i))); resp.StatusCode != http.StatusOK {
+		if resp, _ := c.roundTrip(clientRequest("lookup", fmt.Sprintf("%016x", i))); resp.StatusCode != http.StatusOK {
 			t.Fatalf("connection %d: status %d", i, resp.StatusCode)
 		}
 		// The tracker learns only after the client has its answer that the connection is
 		// idle. The next connection waits for that, so that they become idle in order.
-		eventually(t, fmt.Sprintf("connection %d idle", i), func() bool { return r.node.clients.Stats().Idle == min(i+1, 3) })
+		testsupport.Eventually(t, fmt.Sprintf("connection %d idle", i), func() bool { return h.node.clients.Stats().Idle == min(i+1, 3) })
 	}
-	all[0].SetReadDeadline(time.Now().Add(patience / 4))
-	if _, err := all[0].br.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+	all[0].SetReadDeadline(time.Now().Add(testsupport.MaxWait / 4))
+	if _, err := all[0].reader.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the connection idle for longest is still open: %v", err)
 	}
 	for i, c := range all[1:] {
 		c.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
-		if _, err := c.br.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
+		if _, err := c.reader.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("another connection, %d: %v", i+1, err)
 		}
 	}
--- a/internal/edge/node_test.go
+++ b/internal/edge/node_test.go
@@ -3,9 +3,9 @@
 import (
 	"io"
 	"testing"
-	"time"
 
 	"swiftpitch/internal/policy"
+	"swiftpitch/internal/testsupport"
 )
 
 type panickingGateway struct{}
@@ -17,17 +17,12 @@
 // Guards against a node that goes on receiving requests after its policy has panicked and
 // never answers them: it ends with an error instead.
 func TestPolicyPanics(t *testing.T) {
-	r := startNode(t, testConfig(t), startApp(t, say(hello)).addr)
-	r.node.mu.Lock()
-	r.node.gateway = panickingGateway{}
-	r.node.mu.Unlock()
-	io.WriteString(r.dial(), clientRequest("lookup", "00000000000000aa"))
-	select {
-	case err := <-r.done:
-		if err == nil {
-			t.Error("ended with no error")
-		}
-	case <-time.After(patience):
-		t.Fatal("the node goes on")
+	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
+	h.node.mu.Lock()
+	h.node.gateway = panickingGateway{}
+	h.node.mu.Unlock()
+	io.WriteString(h.dial(), clientRequest("lookup", "00000000000000aa"))
+	if err := testsupport.Receive(t, "the end of the node", h.done); err == nil {
+		t.Error("ended with no error")
 	}
 }
--- a/internal/edge/readahead_test.go
+++ b/internal/edge/readahead_test.go
@@ -9,13 +9,14 @@
 	"testing"
 
 	"swiftpitch/internal/frontend"
+	"swiftpitch/internal/testsupport"
 )
 
 // awaitReadAhead waits until the node has read so many bytes ahead on its one connection.
-func awaitReadAhead(r *rig, want int) {
-	r.t.Helper()
-	eventually(r.t, "the reading ahead", func() bool {
-		stats := r.node.clients.Stats()
+func awaitReadAhead(h *harness, want int) {
+	h.t.Helper()
+	testsupport.Eventually(h.t, "the reading ahead", func() bool {
+		stats := h.node.clients.Stats()
 		return stats.ReadAhead == 1 && stats.ReadAheadBytes >= want
 	})
 }
@@ -30,20 +31,20 @@
 	)
 	for name, room := range map[string]int64{"memory for all": 1 << 20, "little memory": small} {
 		t.Run(name, func(t *testing.T) {
-			let := make(chan struct{})
-			app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
-				<-let
+			release := make(chan struct{})
+			endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+				<-release
 				id := req.Header.Get("X-Trace-Id")
 				_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s%s", len(id)+len(body), id, body)
 				return err == nil
 			})
 			cfg := testConfig(t)
 			cfg.Settings.Plans[0].Rate, cfg.Settings.Plans[0].Burst = 1e5, 1e5
-			r := startNode(t, cfg, app.addr)
-			r.node.memory.Reserve(r.node.memory.Free() - room)
-			c := r.dial()
+			h := startNode(t, cfg, endpoint.Addr)
+			h.node.memory.Reserve(h.node.memory.Free() - room)
+			c := h.dial()
 			io.WriteString(c, clientRequest("lookup", "0000000000000000"))
-			eventually(t, "the attempt", func() bool { return len(app.requests()) == 1 })
+			testsupport.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
 			var text strings.Builder
 			n := 1
 			for ; text.Len() < 2*maxReadAhead; n++ { // lines and bodies that tell if one is lost or out of place
@@ -55,28 +56,28 @@
 				_, err := io.WriteString(c, text.String())
 				wrote <- err
 			}()
-			awaitReadAhead(r, int(min(room, maxReadAhead)))
-			if left := r.node.memory.Free(); left < 0 || left > max(room-maxReadAhead+2*readAheadChunk, 0) {
+			awaitReadAhead(h, int(min(room, maxReadAhead)))
+			if left := h.node.memory.Free(); left < 0 || left > max(room-maxReadAhead+2*readAheadChunk, 0) {
 				t.Errorf("%d of %d bytes are left while %d are kept", left, room, maxReadAhead)
 			}
-			close(let)
+			close(release)
 			for i := range n {
 				want := fmt.Sprintf("%016x", i)
 				if i > 0 {
 					want += fmt.Sprintf("%08d--", i)
 				}
-				if resp, body := c.answer(); resp.StatusCode != http.StatusOK || body != want {
+				if resp, body := c.readResponse(); resp.StatusCode != http.StatusOK || body != want {
 					t.Fatalf("answer %d: status %d, %q", i, resp.StatusCode, body)
 				}
 			}
 			if err := <-wrote; err != nil {
 				t.Error(err)
 			}
-			if k := len(app.requests()); k != n {
-				t.Errorf("app server got %d requests, want %d", k, n)
+			if k := len(endpoint.Requests()); k != n {
+				t.Errorf("endpoint got %d requests, want %d", k, n)
 			}
 			c.Close()
-			eventually(t, "the release of the memory", func() bool { return r.node.memory.Free() == room })
+			testsupport.Eventually(t, "the release of the memory", func() bool { return h.node.memory.Free() == room })
 		})
 	}
 }
@@ -84,24 +85,24 @@
 // Guards a begun request that was read ahead when the shutdown begins: its connection is not
 // idle, and the request is served.
 func TestShutdownCrossesBytesReadAhead(t *testing.T) {
-	let := make(chan struct{})
-	app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
-		<-let
-		return say(hello)(c, req, body)
+	release := make(chan struct{})
+	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+		<-release
+		return testsupport.RespondOK(c, req, body)
 	})
-	r := startNode(t, testConfig(t), app.addr)
-	r.node.phases.read, r.node.phases.answer = patience, patience
-	c := r.dial()
+	h := startNode(t, testConfig(t), endpoint.Addr)
+	h.node.phases.read, h.node.phases.answer = testsupport.MaxWait, testsupport.MaxWait
+	c := h.dial()
 	io.WriteString(c, clientRequest("lookup", "00000000000000aa"))
-	eventually(t, "the attempt", func() bool { return len(app.requests()) == 1 })
+	testsupport.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
 	next := clientRequest("lookup", "00000000000000bb")
 	io.WriteString(c, next[:40])
-	awaitReadAhead(r, 39)
-	close(let)
-	c.answer()
-	r.stop()
-	eventually(t, "the drain", r.node.clients.Draining)
-	if resp, _ := c.ask(next[40:]); resp.StatusCode != http.StatusOK || !resp.Close {
+	awaitReadAhead(h, 39)
+	close(release)
+	c.readResponse()
+	h.stop()
+	testsupport.Eventually(t, "the drain", h.node.clients.Draining)
+	if resp, _ := c.roundTrip(next[40:]); resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("status %d, closing %v", resp.StatusCode, resp.Close)
 	}
 }
--- a/internal/edge/request_test.go
+++ b/internal/edge/request_test.go
@@ -9,6 +9,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"swiftpitch/internal/testsupport"
 )
 
 // Guards the plain path of a request: each kind of class is forwarded unchanged, with the
@@ -17,7 +19,7 @@
 func TestServes(t *testing.T) {
 	var mu sync.Mutex
 	heads := map[string]http.Header{}
-	app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		mu.Lock()
 		heads[req.Header.Get("X-Trace-Id")] = req.Header
 		mu.Unlock()
@@ -25,11 +27,11 @@
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: text/x-tmx\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 		return true
 	})
-	r := startNode(t, testConfig(t), app.addr)
-	c := r.dial()
+	h := startNode(t, testConfig(t), endpoint.Addr)
+	c := h.dial()
 	for i, class := range []string{"lookup", "save", "merge", "lookup"} {
 		id := fmt.Sprintf("%016x", i)
-		resp, body := c.ask(clientRequest(class, id))
+		resp, body := c.roundTrip(clientRequest(class, id))
 		want := "echo 0123456789"
 		if class == "lookup" {
 			want = "echo "
@@ -43,8 +45,8 @@
 	}
 	want := []string{"GET /lookup/x?q=1 0000000000000000", "POST /save/x?q=1 0000000000000001",
 		"POST /merge/x?q=1 0000000000000002", "GET /lookup/x?q=1 0000000000000003"}
-	if got := app.requests(); fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("app server got %q", got)
+	if got := endpoint.Requests(); fmt.Sprint(got) != fmt.Sprint(want) {
+		t.Errorf("endpoint got %q", got)
 	}
 	mu.Lock()
 	defer mu.Unlock()
@@ -60,40 +62,40 @@
 // Guards the one answer of an open request: another of the same id is malformed
 // and does not touch it.
 func TestSameID(t *testing.T) {
-	let := make(chan struct{})
-	app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
-		<-let
-		return say(hello)(c, req, body)
+	release := make(chan struct{})
+	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+		<-release
+		return testsupport.RespondOK(c, req, body)
 	})
-	r := startNode(t, testConfig(t), app.addr)
-	first, second := r.dial(), r.dial()
+	h := startNode(t, testConfig(t), endpoint.Addr)
+	first, second := h.dial(), h.dial()
 	io.WriteString(first, clientRequest("merge", "00000000000000aa"))
-	eventually(t, "the first attempt", func() bool { return len(app.requests()) == 1 })
-	if resp, _ := second.ask(clientRequest("merge", "00000000000000aa")); resp.StatusCode != http.StatusBadRequest {
+	testsupport.Eventually(t, "the first attempt", func() bool { return len(endpoint.Requests()) == 1 })
+	if resp, _ := second.roundTrip(clientRequest("merge", "00000000000000aa")); resp.StatusCode != http.StatusBadRequest {
 		t.Errorf("second: status %d", resp.StatusCode)
 	}
-	close(let)
-	if resp, body := first.answer(); resp.StatusCode != http.StatusOK || body != "hello" {
+	close(release)
+	if resp, body := first.readResponse(); resp.StatusCode != http.StatusOK || body != "hello" {
 		t.Errorf("first: %d %q", resp.StatusCode, body)
 	}
-	if got := app.requests(); len(got) != 1 {
-		t.Errorf("app server got %q", got)
+	if got := endpoint.Requests(); len(got) != 1 {
+		t.Errorf("endpoint got %q", got)
 	}
 }
 
 // Guards a rejection by the policy: it is answered at once, with Retry-After, and no
 // attempt is started.
 func TestRejected(t *testing.T) {
-	app := startApp(t, say(hello))
+	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 	cfg := testConfig(t)
 	cfg.Settings.Plans[1].HardLimitRate, cfg.Settings.Plans[1].HardLimitBurst = 0.001, 0.001
-	r := startNode(t, cfg, app.addr)
-	resp, _ := r.dial().ask(clientRequest("merge", "00000000000000aa", "basic", "none"))
+	h := startNode(t, cfg, endpoint.Addr)
+	resp, _ := h.dial().roundTrip(clientRequest("merge", "00000000000000aa", "basic", "none"))
 	if resp.StatusCode != http.StatusTooManyRequests || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
-	if got := app.requests(); len(got) > 0 {
-		t.Errorf("app server got %q", got)
+	if got := endpoint.Requests(); len(got) > 0 {
+		t.Errorf("endpoint got %q", got)
 	}
 }
 
@@ -101,17 +103,17 @@
 // run, so it is neither retried nor rejected; an idempotent one is retried elsewhere.
 func TestReset(t *testing.T) {
 	reset := func(c net.Conn, _ *http.Request, _ []byte) bool { return false }
-	a, b := startApp(t, reset), startApp(t, reset)
-	r := startNode(t, testConfig(t), a.addr, b.addr)
-	if resp, _ := r.dial().ask(clientRequest("merge", "00000000000000aa")); resp.StatusCode != http.StatusBadGateway {
+	a, b := testsupport.StartFakeEndpoint(t, reset), testsupport.StartFakeEndpoint(t, reset)
+	h := startNode(t, testConfig(t), a.Addr, b.Addr)
+	if resp, _ := h.dial().roundTrip(clientRequest("merge", "00000000000000aa")); resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("unsafe: status %d", resp.StatusCode)
 	}
-	if got := append(a.requests(), b.requests()...); len(got) != 1 {
-		t.Errorf("unsafe: app servers got %q", got)
+	if got := append(a.Requests(), b.Requests()...); len(got) != 1 {
+		t.Errorf("unsafe: endpoints got %q", got)
 	}
-	r.dial().ask(clientRequest("lookup", "00000000000000bb"))
-	if got := append(a.requests(), b.requests()...); len(got) != 3 {
-		t.Errorf("harmless: app servers got %q", got)
+	h.dial().roundTrip(clientRequest("lookup", "00000000000000bb"))
+	if got := append(a.Requests(), b.Requests()...); len(got) != 3 {
+		t.Errorf("harmless: endpoints got %q", got)
 	}
 }
 
@@ -122,15 +124,15 @@
 	const breaks = 8
 	var met atomic.Int32
 	serve := func(c net.Conn, req *http.Request, body []byte) bool {
-		return met.Add(1) > breaks && say(hello)(c, req, body)
+		return met.Add(1) > breaks && testsupport.RespondOK(c, req, body)
 	}
-	r := startNode(t, testConfig(t), startApp(t, serve).addr, startApp(t, serve).addr)
-	c := r.dial()
+	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, serve).Addr, testsupport.StartFakeEndpoint(t, serve).Addr)
+	c := h.dial()
 	for i := 0; i < breaks && met.Load() < breaks; i++ { // two attempts each at most
-		c.ask(clientRequest("lookup", fmt.Sprintf("%016x", i+1)))
+		c.roundTrip(clientRequest("lookup", fmt.Sprintf("%016x", i+1)))
 	}
 	for i := range 5 {
-		resp, _ := c.ask(clientRequest("lookup", fmt.Sprintf("%016x", 100+i)))
+		resp, _ := c.roundTrip(clientRequest("lookup", fmt.Sprintf("%016x", 100+i)))
 		if resp.StatusCode != http.StatusOK {
 			t.Errorf("request %d after %d breaks: status %d", i, met.Load(), resp.StatusCode)
 		}
@@ -140,15 +142,15 @@
 // Guards the deadline: an endpoint that does not respond does not keep the client waiting
 // past it.
 func TestSilentServer(t *testing.T) {
-	app := startApp(t, func(net.Conn, *http.Request, []byte) bool { return true })
+	endpoint := testsupport.StartFakeEndpoint(t, func(net.Conn, *http.Request, []byte) bool { return true })
 	cfg := testConfig(t)
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].LatencyObjective = 300 * time.Millisecond
 	}
 	for _, class := range []string{"lookup", "save", "merge"} {
-		r := startNode(t, cfg, app.addr)
+		h := startNode(t, cfg, endpoint.Addr)
 		sent := time.Now()
-		resp, _ := r.dial().ask(clientRequest(class, "00000000000000aa", "3000", "600"))
+		resp, _ := h.dial().roundTrip(clientRequest(class, "00000000000000aa", "3000", "600"))
 		if took := time.Since(sent); took < 200*time.Millisecond {
 			t.Errorf("%s: given up after %v", class, took)
 		}
@@ -159,34 +161,25 @@
 		if resp.StatusCode != want {
 			t.Errorf("%s: status %d", class, resp.StatusCode)
 		}
-		eventually(t, "the end of the request", func() bool {
-			r.node.mu.Lock()
-			defer r.node.mu.Unlock()
-			return len(r.node.requests) == 0
-		})
+		testsupport.Eventually(t, "the end of the request", func() bool { return h.openRequests() == 0 })
 	}
 }
 
 // Guards the deadline guard: a request that the policy does not end is failed shortly
 // before its deadline.
 func TestDeadlineGuard(t *testing.T) {
-	r := startNode(t, testConfig(t))
+	h := startNode(t, testConfig(t))
 	req := &request{id: "x", deadline: time.Now().Add(100 * time.Millisecond), answer: make(chan answer, 1)}
-	r.node.mu.Lock()
-	req.deadlineGuard = r.node.afterFunc(time.Until(req.deadline)-deadlineGuardMargin, func() { r.node.expire(req) })
-	r.node.requests[req.id] = req
-	r.node.mu.Unlock()
-	select {
-	case a := <-req.answer:
-		if a.status != http.StatusGatewayTimeout {
-			t.Errorf("status %d", a.status)
-		}
-	case <-time.After(patience):
-		t.Fatal("no answer")
-	}
-	r.node.mu.Lock()
-	defer r.node.mu.Unlock()
-	if len(r.node.requests) != 0 {
+	h.node.mu.Lock()
+	req.deadlineGuard = h.node.afterFunc(time.Until(req.deadline)-deadlineGuardMargin, func() { h.node.expire(req) })
+	h.node.requests[req.id] = req
+	h.node.mu.Unlock()
+	if a := testsupport.Receive(t, "the answer", req.answer); a.status != http.StatusGatewayTimeout {
+		t.Errorf("status %d", a.status)
+	}
+	h.node.mu.Lock()
+	defer h.node.mu.Unlock()
+	if len(h.node.requests) != 0 {
 		t.Error("the request is still held")
 	}
 }
--- a/internal/edge/shutdown_test.go
+++ b/internal/edge/shutdown_test.go
@@ -11,28 +11,28 @@
 
 	"swiftpitch/internal/frontend"
 	"swiftpitch/internal/policy"
+	"swiftpitch/internal/testsupport"
 )
 
 // Guards the requests that are open when the process is about to be killed: they get a whole
 // final answer, and the node ends by itself with nothing left open.
 func TestPendingRequestsFailBeforeTheKill(t *testing.T) {
-	app := startApp(t, func(net.Conn, *http.Request, []byte) bool { return true }) // never answers
-	r := startNode(t, testConfig(t), app.addr)
-	r.node.phases.answer = 50 * time.Millisecond // long before the request's own time is up
-	r.node.phases.write = patience
-	c := r.dial()
+	endpoint := testsupport.StartFakeEndpoint(t, func(net.Conn, *http.Request, []byte) bool { return true }) // never answers
+	h := startNode(t, testConfig(t), endpoint.Addr)
+	h.node.phases.answer = 50 * time.Millisecond // long before the request's own time is up
+	h.node.phases.write = testsupport.MaxWait
+	c := h.dial()
 	io.WriteString(c, clientRequest("merge", "00000000000000aa"))
-	eventually(t, "the attempt", func() bool { return len(app.requests()) == 1 })
-	r.stop()
-	if resp, _ := c.answer(); resp.StatusCode != http.StatusGatewayTimeout || !resp.Close {
+	testsupport.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
+	h.stop()
+	if resp, _ := c.readResponse(); resp.StatusCode != http.StatusGatewayTimeout || !resp.Close {
 		t.Errorf("status %d, closing %v", resp.StatusCode, resp.Close)
 	}
-	if err := <-r.done; err != nil {
+	if err := <-h.done; err != nil {
 		t.Errorf("the node ends with %v", err)
 	}
-	r.done <- nil
 	late := &request{id: "late"}
-	r.node.receive(late, receivedEvent(late.id))
+	h.node.receive(late, receivedEvent(late.id))
 	if a := <-late.answer; a.status != statusRejected {
 		t.Errorf("a request that comes later is answered %d", a.status)
 	}
@@ -56,16 +56,16 @@
 // Guards a request that comes in two parts with the end of the listener between them:
 // it is read to its end and served.
 func TestShutdownReadsRequestsOnTheirWay(t *testing.T) {
-	r := startNode(t, testConfig(t), startApp(t, say(hello)).addr)
-	r.node.phases.read, r.node.phases.answer = patience, patience
+	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
+	h.node.phases.read, h.node.phases.answer = testsupport.MaxWait, testsupport.MaxWait
 	text := clientRequest("merge", "00000000000000aa")
-	silent, half, body := r.dial(), r.dial(), r.dial() // nothing, half a head and half a body before the stop
+	silent, half, body := h.dial(), h.dial(), h.dial() // nothing, half a head and half a body before the stop
 	io.WriteString(half, text[:40])
 	io.WriteString(body, text[:len(text)-5])
-	eventually(t, "the connections", func() bool { return r.node.clients.Stats().Open >= 3 })
-	r.stop()
-	eventually(t, "the end of the listener", func() bool {
-		c, err := net.Dial("tcp", r.addr)
+	testsupport.Eventually(t, "the connections", func() bool { return h.node.clients.Stats().Open >= 3 })
+	h.stop()
+	testsupport.Eventually(t, "the end of the listener", func() bool {
+		c, err := net.Dial("tcp", h.addr)
 		if err == nil {
 			c.Close()
 		}
@@ -75,7 +75,7 @@
 	io.WriteString(half, clientRequest("merge", "00000000000000cc")[40:])
 	io.WriteString(body, text[len(text)-5:])
 	for i, c := range []*client{silent, half, body} {
-		if resp, got := c.answer(); resp.StatusCode != http.StatusOK || got != "hello" || !resp.Close {
+		if resp, got := c.readResponse(); resp.StatusCode != http.StatusOK || got != "hello" || !resp.Close {
 			t.Errorf("connection %d: status %d, body %q, closing %v", i, resp.StatusCode, got, resp.Close)
 		}
 	}
@@ -84,18 +84,18 @@
 // Guards a request of which the first byte has been read on a kept connection when the
 // shutdown begins: the connection is not idle any more, and the request is served.
 func TestShutdownCrossesARequestBegun(t *testing.T) {
-	r := startNode(t, testConfig(t), startApp(t, say(hello)).addr)
-	r.node.phases.read, r.node.phases.answer = patience, patience
-	c := r.dial()
-	c.ask(clientRequest("lookup", "00000000000000aa"))
-	idle := func() int { return r.node.clients.Stats().Idle }
-	eventually(t, "the idle connection", func() bool { return idle() == 1 })
+	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
+	h.node.phases.read, h.node.phases.answer = testsupport.MaxWait, testsupport.MaxWait
+	c := h.dial()
+	c.roundTrip(clientRequest("lookup", "00000000000000aa"))
+	idle := func() int { return h.node.clients.Stats().Idle }
+	testsupport.Eventually(t, "the idle connection", func() bool { return idle() == 1 })
 	text := clientRequest("lookup", "00000000000000bb")
 	io.WriteString(c, text[:1])
-	eventually(t, "the first byte", func() bool { return idle() == 0 })
-	r.stop()
-	eventually(t, "the drain", r.node.clients.Draining)
-	if resp, _ := c.ask(text[1:]); resp.StatusCode != http.StatusOK || !resp.Close {
+	testsupport.Eventually(t, "the first byte", func() bool { return idle() == 0 })
+	h.stop()
+	testsupport.Eventually(t, "the drain", h.node.clients.Draining)
+	if resp, _ := c.roundTrip(text[1:]); resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("status %d, closing %v", resp.StatusCode, resp.Close)
 	}
 }
@@ -104,9 +104,9 @@
 // request: what was read before the close is dropped. That
 // nothing more is read is tested in internal/frontend.
 func TestCloseCrossesARequest(t *testing.T) {
-	app := startApp(t, say(hello))
-	r := startNode(t, testConfig(t), app.addr)
-	ln := listen(t)
+	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	h := startNode(t, testConfig(t), endpoint.Addr)
+	ln := testsupport.Listen(t)
 	text := clientRequest("merge", "00000000000000aa")
 	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -144,10 +144,10 @@
 		req := httptest.NewRequest(http.MethodGet, "/lookup/x", nil).WithContext(ctx)
 		req.Host = "x"
 		req.Header = lookupHeader()
-		r.node.ServeHTTP(httptest.NewRecorder(), req)
+		h.node.ServeHTTP(httptest.NewRecorder(), req)
 	}()
-	if got := app.requests(); len(got) > 0 {
-		t.Errorf("app server got %q", got)
+	if got := endpoint.Requests(); len(got) > 0 {
+		t.Errorf("endpoint got %q", got)
 	}
 }
 
@@ -166,49 +166,44 @@
 // close, requests in flight are finished, an idle connection is closed, and then the node
 // ends with no error.
 func TestGracefulShutdown(t *testing.T) {
-	let := make(chan struct{})
-	app := startApp(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	release := make(chan struct{})
+	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		if req.Header.Get("X-Trace-Id") == "00000000000000aa" {
-			<-let
+			<-release
 		}
-		return say(hello)(c, req, body)
+		return testsupport.RespondOK(c, req, body)
 	})
-	r := startNode(t, testConfig(t), app.addr)
-	r.node.phases.accept = patience / 10
-	idle, busy := r.dial(), r.dial()
-	idle.ask(clientRequest("lookup", "00000000000000bb"))
+	h := startNode(t, testConfig(t), endpoint.Addr)
+	h.node.phases.accept = testsupport.MaxWait / 10
+	idle, busy := h.dial(), h.dial()
+	idle.roundTrip(clientRequest("lookup", "00000000000000bb"))
 	io.WriteString(busy, clientRequest("merge", "00000000000000aa"))
-	eventually(t, "the open request", func() bool { return len(app.requests()) == 2 })
-	r.stop()
-	if _, err := idle.br.ReadByte(); err != io.EOF {
+	testsupport.Eventually(t, "the open request", func() bool { return len(endpoint.Requests()) == 2 })
+	h.stop()
+	if _, err := idle.reader.ReadByte(); err != io.EOF {
 		t.Errorf("idle connection: %v", err)
 	}
-	if resp, _ := r.dial().ask(clientRequest("merge", "00000000000000cc")); resp.StatusCode != http.StatusOK || !resp.Close {
+	if resp, _ := h.dial().roundTrip(clientRequest("merge", "00000000000000cc")); resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("new connection: status %d, closing %v", resp.StatusCode, resp.Close)
 	}
-	close(let)
-	if resp, _ := busy.answer(); resp.StatusCode != http.StatusOK || !resp.Close {
+	close(release)
+	if resp, _ := busy.readResponse(); resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("open request: status %d, closing %v", resp.StatusCode, resp.Close)
 	}
-	select {
-	case err := <-r.done:
-		if err != nil {
-			t.Error(err)
-		}
-	case <-time.After(patience):
-		t.Fatal("the node does not end")
+	if err := testsupport.Receive(t, "the end of the node", h.done); err != nil {
+		t.Error(err)
 	}
 }
 
 // Guards the end of a graceful shutdown against connections on which nothing was ever sent:
 // they do not delay it by the five seconds that the library waits.
 func TestShutdownWithSilentConnection(t *testing.T) {
-	r := startNode(t, testConfig(t), startApp(t, say(hello)).addr)
-	c := r.dial()
-	eventually(t, "the silent connection", func() bool { return r.node.clients.Stats().Open > 0 })
-	r.stop()
+	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
+	c := h.dial()
+	testsupport.Eventually(t, "the silent connection", func() bool { return h.node.clients.Stats().Open > 0 })
+	h.stop()
 	asked := time.Now()
-	if _, err := c.br.ReadByte(); err == nil {
+	if _, err := c.reader.ReadByte(); err == nil {
 		t.Error("the connection says something")
 	}
 	if took := time.Since(asked); took > 3*time.Second {
--- a/internal/testsupport/endpoint.go
+++ b/internal/testsupport/endpoint.go
@@ -26,6 +26,11 @@
 	}
 }
 
+// RespondOK is the responder that writes [OKResponse] for each request.
+func RespondOK(conn net.Conn, req *http.Request, body []byte) bool {
+	return RespondWith(OKResponse)(conn, req, body)
+}
+
 // FakeEndpoint is an HTTP server on the loopback interface whose responses, byte for byte, are
 // those of a [Responder]. It takes the place of an endpoint, of the counter or of discovery, and
 // records the requests that it read. Its methods may be called from any goroutine.
