--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -5,18 +5,20 @@
 	"net"
 	"testing"
 	"time"
+
+	"swiftpitch/internal/testsupport"
 )
 
 // Guards the connections that wait at the listener when it ends: they are accepted.
 func TestListenerAcceptsWhatWaits(t *testing.T) {
-	ln := listen(t)
-	l := NewListener(ln, NewTracker(1, NewMemoryBudget(testMemory)))
-	c, err := net.Dial("tcp", ln.Addr().String()) // the kernel accepts it
+	listener := testsupport.Listen(t)
+	l := NewListener(listener, NewTracker(1, NewMemoryBudget(testMemory)))
+	c, err := net.Dial("tcp", listener.Addr().String()) // the kernel accepts it
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	ln.SetDeadline(time.Unix(1, 0))
+	listener.SetDeadline(time.Unix(1, 0))
 	got, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/frontend/readahead_test.go
+++ b/internal/frontend/readahead_test.go
@@ -6,6 +6,8 @@
 	"os"
 	"testing"
 	"time"
+
+	"swiftpitch/internal/testsupport"
 )
 
 // Guards the deadlines of a connection that is read ahead: one that passes is reported to
@@ -27,7 +29,7 @@
 	}
 	here.Close()
 	a.close()
-	receive(t, "the end", disconnected)
+	testsupport.Receive(t, "the end", disconnected)
 	if _, err := a.Read(b); err == nil {
 		t.Error("a closed connection is read")
 	}
@@ -81,15 +83,15 @@
 func TestReadAheadDeadlineIsLiftedMeanwhile(t *testing.T) {
 	c := scriptedConn{reads: make(chan struct{}), results: make(chan error)}
 	a := newReadAhead(c, NewMemoryBudget(testMemory), make(chan struct{}))
-	receive(t, "the read", c.reads)
+	testsupport.Receive(t, "the read", c.reads)
 	a.setReadDeadline(time.Time{})
 	c.results <- os.ErrDeadlineExceeded
-	receive(t, "the reading on", c.reads)
+	testsupport.Receive(t, "the reading on", c.reads)
 	c.results <- nil
 	b := make([]byte, 2)
 	if k, err := a.Read(b); k != 1 || err != nil {
 		t.Errorf("read %q, %v", b[:k], err)
 	}
-	receive(t, "the read", c.reads)
+	testsupport.Receive(t, "the read", c.reads)
 	c.results <- io.EOF
 }
--- a/internal/frontend/tracker_test.go
+++ b/internal/frontend/tracker_test.go
@@ -6,6 +6,8 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"swiftpitch/internal/testsupport"
 )
 
 // Guards a connection on which something of the next request was read while one was in
@@ -27,21 +29,21 @@
 	}
 }
 
-// Guards good clients against a crowd that says nothing or half a request: those
-// are evicted, not the connections on which whole requests came.
+// Guards good clients against many that send nothing or half a request: those are evicted,
+// not the connections on which whole requests came.
 func TestEvictionSparesProvenConns(t *testing.T) {
 	tracker := NewTracker(4, NewMemoryBudget(testMemory))
 	addr := startServer(t, tracker)
 	good := dial(t, addr)
 	if status := good.get(); status != http.StatusOK {
-		t.Fatalf("before the crowd: status %d", status)
+		t.Fatalf("before the other clients: status %d", status)
 	}
-	eventually(t, "the end of its request", func() bool {
+	testsupport.Eventually(t, "the end of its request", func() bool {
 		tracker.mu.Lock()
 		defer tracker.mu.Unlock()
 		for _, c := range tracker.conns {
 			if c.proven && !c.busy {
-				c.idleSince = time.Now().Add(patience) // it has only just become idle, however slow this machine
+				c.idleSince = time.Now().Add(testsupport.MaxWait) // it has only just become idle, however slow this machine
 				return true
 			}
 		}
--- a/internal/socket/peek_test.go
+++ b/internal/socket/peek_test.go
@@ -1,30 +1,25 @@
 package socket
 
 import (
+	"fmt"
 	"io"
 	"net"
 	"testing"
 	"time"
+
+	"swiftpitch/internal/testsupport"
 )
 
 // TestPeek checks the states of a peer, and that a look consumes nothing.
 func TestPeek(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer listener.Close()
-	peer, err := net.Dial("tcp", listener.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer peer.Close()
+	listener := testsupport.Listen(t)
+	peer := testsupport.Dial(t, listener.Addr().String())
 	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(waitTimeout))
+	conn.SetDeadline(time.Now().Add(testsupport.MaxWait))
 
 	if state := Peek(conn); state != Quiet {
 		t.Errorf("before the peer writes: state %d, want %d", state, Quiet)
@@ -56,14 +51,7 @@
 	}
 }
 
-// waitTimeout bounds every wait of these tests; none of them needs nearly as long.
-const waitTimeout = 20 * time.Second
-
 func waitForState(t *testing.T, conn net.Conn, want PeerState) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); Peek(conn) != want; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("state %d is not reached within %v", want, waitTimeout)
-		}
-	}
+	testsupport.Eventually(t, fmt.Sprintf("state %d", want), func() bool { return Peek(conn) == want })
 }
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"swiftpitch/internal/policy"
+	"swiftpitch/internal/testsupport"
 )
 
 // TestExchange checks the outcome of each way in which an exchange can end: only proof
@@ -20,12 +21,12 @@
 		outcome        policy.Outcome
 		reusable       bool
 	}{
-		{"succeeded", okResponse, policy.Succeeded, true},
+		{"succeeded", testsupport.OKResponse, policy.Succeeded, true},
 		{"succeeded, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", policy.Succeeded, true},
 		{"succeeded, closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nhello", policy.Succeeded, false},
-		{"succeeded after 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse, policy.Succeeded, true},
-		{"1xx without end", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2*maxInterimResponses) + okResponse, policy.ConnectionLost, false},
-		{"more than a response", okResponse + okResponse, policy.Succeeded, false},
+		{"succeeded after 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + testsupport.OKResponse, policy.Succeeded, true},
+		{"1xx without end", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2*maxInterimResponses) + testsupport.OKResponse, policy.ConnectionLost, false},
+		{"more than a response", testsupport.OKResponse + testsupport.OKResponse, policy.Succeeded, false},
 		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.ServerError, true},
 		{"overloaded", "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Overloaded, true},
 		{"deadline passed before it ran", "HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Overloaded, true},
@@ -43,11 +44,11 @@
 		{"head too long", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*(maxBodyBytes+maxResponseHeadBytes)), policy.ConnectionLost, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			addr := startServer(t, func(conn net.Conn, _ *http.Request) bool {
+			addr := testsupport.StartFakeEndpoint(t, func(conn net.Conn, _ *http.Request, _ []byte) bool {
 				io.WriteString(conn, test.response)
 				return false
-			})
-			response := NewConn(dial(t, addr), nil, addr).Exchange(getRequest("/"))
+			}).Addr
+			response := NewConn(testsupport.Dial(t, addr), nil, addr).Exchange(getRequest("/"))
 			if response.Outcome != test.outcome || response.Reusable != test.reusable {
 				t.Errorf("outcome %d, reusable %v", response.Outcome, response.Reusable)
 			}
@@ -61,11 +62,7 @@
 // TestPartialWrite checks that a connection that breaks before the request's last byte
 // is written proves that the request never ran.
 func TestPartialWrite(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { listener.Close() })
+	listener := testsupport.Listen(t)
 	go func() {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -76,7 +73,7 @@
 	}()
 	addr := listener.Addr().String()
 	text := "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 100000000\r\n\r\n" + strings.Repeat("x", 100000000)
-	response := NewConn(dial(t, addr), nil, addr).Exchange(net.Buffers{[]byte(text)})
+	response := NewConn(testsupport.Dial(t, addr), nil, addr).Exchange(net.Buffers{[]byte(text)})
 	if response.Outcome != policy.ConnectFailed || response.Reusable {
 		t.Errorf("outcome %d, reusable %v", response.Outcome, response.Reusable)
 	}
@@ -87,15 +84,14 @@
 // server sends a duplicate response to the first request just when the next one reaches
 // that connection, so that it would be the first thing read.
 func TestDuplicateResponseCrossesNextRequest(t *testing.T) {
-	addr := startServer(t, func(conn net.Conn, req *http.Request) bool {
+	addr := testsupport.StartFakeEndpoint(t, func(conn net.Conn, req *http.Request, body []byte) bool {
 		if req.URL.Path == "/second" {
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother")
 		}
-		_, err := io.WriteString(conn, okResponse)
-		return err == nil
-	})
+		return testsupport.RespondOK(conn, req, body)
+	}).Addr
 	pool, endpoint := newTestPool(addr)
-	conn := NewConn(dial(t, addr), endpoint, addr)
+	conn := NewConn(testsupport.Dial(t, addr), endpoint, addr)
 	if body := string(conn.Exchange(getRequest("/first")).Body); body != "hello" {
 		t.Fatalf("read %q", body)
 	}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -1,19 +1,17 @@
 package upstream
 
 import (
-	"io"
-	"net"
-	"net/http"
 	"testing"
 	"time"
 
 	"swiftpitch/internal/policy"
+	"swiftpitch/internal/testsupport"
 )
 
 // TestPoolLimit checks the limit on descriptors: at the limit an idle connection frees
 // its slot, and with none idle there is no slot.
 func TestPoolLimit(t *testing.T) {
-	pool, endpoint := newTestPool(startServer(t, serveOK))
+	pool, endpoint := newTestPool(testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
 	addIdleConn(t, pool, endpoint)
 	pool.maxConns = pool.open
 	if !pool.Reserve() || len(endpoint.idle) != 0 {
@@ -52,7 +50,7 @@
 // that no longer exists: when discovery reports a restart or a new address, idle
 // connections are closed.
 func TestRestartEvictsIdle(t *testing.T) {
-	addr := startServer(t, serveOK)
+	addr := testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr
 	pool, endpoint := newTestPool(addr)
 	original := EndpointUpdate{ID: "s-0", Addr: addr, State: policy.Serving}
 	for name, update := range map[string]EndpointUpdate{
@@ -70,9 +68,3 @@
 		}
 	}
 }
-
-// serveOK answers a request with okResponse and keeps the connection open.
-func serveOK(conn net.Conn, _ *http.Request) bool {
-	_, err := io.WriteString(conn, okResponse)
-	return err == nil
-}
