--- a/cmd/edgenode/filelimit_test.go
+++ b/cmd/edgenode/filelimit_test.go
@@ -9,24 +9,24 @@
 	"strings"
 	"sync"
 	"testing"
-	"time"
+
+	"swiftpitch/internal/testsupport"
 )
 
 const (
 	fileLimit       = 64 // file descriptors that the process may hold
-	upstreamFiles   = 24 // of these for app servers
+	upstreamFiles   = 24 // of these for endpoints
 	clientFiles     = 24 // and for clients
 	idleClients     = 150
 	idleReconnects  = 9 // of each idle client whose connection is closed
-	maxWait         = 20 * time.Second
 	fileCountChecks = 200
 )
 
 // Guards the descriptors: idle clients take all that they may while discovery, the counter and
-// an app server are down. The process stays up and answers the requests that it has received;
-// what is left holds all the connections to app servers that there may be, so that accepting
-// never fails for want of one; and it gets its connections to discovery, the counter and the app
-// server as soon as these are back.
+// an endpoint are down. The process stays up and answers the requests that it has received;
+// what is left holds all the connections to endpoints that there may be, so that accepting
+// never fails for want of one; and it gets its connections to discovery, the counter and the
+// endpoint as soon as these are back.
 func TestIdleClientsLeaveDescriptorsToTheRest(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) { testIdleClients(t, mode) })
@@ -36,12 +36,12 @@
 // testIdleClients runs the test in one of discovery's modes.
 func testIdleClients(t *testing.T, discoveryMode string) {
 	discovery, counter := newReservedAddress(t), newReservedAddress(t)
-	knownServer, newServer := newReservedAddress(t), newReservedAddress(t)
-	path := writeConfig(t, fileLimitConfig(discoveryMode, discovery, counter, knownServer))
+	knownEndpoint, newEndpoint := newReservedAddress(t), newReservedAddress(t)
+	path := writeConfig(t, fileLimitConfig(discoveryMode, discovery, counter, knownEndpoint))
 	node := startNode(t, path, fileLimit)
 
 	received, release := make(chan string, 1), make(chan struct{})
-	knownServer.serve(func(w http.ResponseWriter, _ *http.Request) {
+	knownEndpoint.serve(func(w http.ResponseWriter, _ *http.Request) {
 		notifyFirst(received, "known")
 		<-release
 		io.WriteString(w, "known")
@@ -63,10 +63,10 @@
 	}
 
 	counterCalls := serveCounter(counter)
-	newServer.serve(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "new") })
-	discoveryCalls := serveDiscovery(discovery, newServer)
+	newEndpoint.serve(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "new") })
+	discoveryCalls := serveDiscovery(discovery, newEndpoint)
 	requests := 0
-	waitUntil(t, "an answer by the app server that discovery lists now", func() bool {
+	testsupport.Eventually(t, "an answer by the endpoint that discovery lists now", func() bool {
 		requests++
 		body, err := node.request(t.Context(), fmt.Sprintf("%016x", 0xb0+requests))
 		return err == nil && body == "new"
@@ -87,7 +87,7 @@
 	return first
 }
 
-// serveDiscovery begins to serve as discovery, which lists one app server and then nothing newer.
+// serveDiscovery begins to serve as discovery, which lists one endpoint and then nothing newer.
 // It returns a channel that takes the first call.
 func serveDiscovery(discovery, listed *reservedAddress) (calls <-chan string) {
 	first := make(chan string, 1)
@@ -102,8 +102,8 @@
 	return first
 }
 
-// fileLimitConfig returns the configuration of a node that knows one app server.
-func fileLimitConfig(discoveryMode string, discovery, counter, knownServer *reservedAddress) string {
+// fileLimitConfig returns the configuration of a node that knows one endpoint.
+func fileLimitConfig(discoveryMode string, discovery, counter, knownEndpoint *reservedAddress) string {
 	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
  "limits":{"cores":1,"memory_mb":192,"sockets":%d},"counter":%q,
  "known":{"generation":41,"reset":true,"instances":[%s]},
@@ -111,25 +111,25 @@
   "tiersOfService":[{"name":"p","refill":100,"depth":100,"worthFactor":1}],
   "familyInfo":{"counter":true,"countWait":80000000,"mostUnits":6},"contract":{"drainGrace":2000000000},
   "classes":[{"name":"c","effect":"repeatable","aim":15000000000,"deadline":15000000000,"value":1}]}}`,
-		discovery.address, fileLimit, counter.address, instanceJSON("known", knownServer), discoveryMode)
+		discovery.address, fileLimit, counter.address, instanceJSON("known", knownEndpoint), discoveryMode)
 }
 
-// instanceJSON returns discovery's entry for an app server.
-func instanceJSON(id string, server *reservedAddress) string {
-	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"lifecycle":"SERVING","weight":1,"startedAtMs":0}`, id, server.address)
+// instanceJSON returns discovery's entry for an endpoint.
+func instanceJSON(id string, endpoint *reservedAddress) string {
+	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"lifecycle":"SERVING","weight":1,"startedAtMs":0}`, id, endpoint.address)
 }
 
 // checkFreeFiles waits until the idle clients hold all descriptors that they may, and checks
-// that those left suffice for the app servers, discovery and the counter.
+// that those left suffice for the endpoints, discovery and the counter.
 func checkFreeFiles(t *testing.T, node *nodeProcess) {
 	t.Helper()
-	waitUntil(t, "the descriptors for clients to be used up", func() bool { return node.openFiles(t) >= clientFiles })
+	testsupport.Eventually(t, "the descriptors for clients to be used up", func() bool { return node.openFiles(t) >= clientFiles })
 	maxOpen := 0
 	for range fileCountChecks {
 		maxOpen = max(maxOpen, node.openFiles(t))
 	}
 	if maxOpen+upstreamFiles+2 > fileLimit {
-		t.Errorf("%d of %d descriptors are in use, %d more may be for app servers, 2 for discovery and the counter",
+		t.Errorf("%d of %d descriptors are in use, %d more may be for endpoints, 2 for discovery and the counter",
 			maxOpen, fileLimit, upstreamFiles)
 	}
 }
@@ -154,7 +154,7 @@
 // runIdleClient connects, and again a few times where its connection is closed, until ctx ends
 // or it can't connect. It calls connected after the first time.
 func runIdleClient(ctx context.Context, address, greeting string, connected func()) {
-	dialer := net.Dialer{Timeout: maxWait}
+	dialer := net.Dialer{Timeout: testsupport.MaxWait}
 	for k := range 1 + idleReconnects {
 		conn, err := dialer.DialContext(ctx, "tcp", address)
 		if k == 0 {
@@ -184,19 +184,5 @@
 // expectCall waits for a call of the process to one of its peers.
 func expectCall(t *testing.T, peer string, calls <-chan string) {
 	t.Helper()
-	select {
-	case <-calls:
-	case <-time.After(maxWait):
-		t.Errorf("%s is not called", peer)
-	}
-}
-
-// waitUntil waits until a condition holds.
-func waitUntil(t *testing.T, what string, condition func() bool) {
-	t.Helper()
-	for end := time.Now().Add(maxWait); !condition(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("%s: not within %v", what, maxWait)
-		}
-	}
+	testsupport.Receive(t, "a call to "+peer, calls)
 }
--- a/cmd/edgenode/process_test.go
+++ b/cmd/edgenode/process_test.go
@@ -14,6 +14,7 @@
 	"testing"
 
 	"swiftpitch/internal/config"
+	"swiftpitch/internal/testsupport"
 )
 
 // reservedAddress is an address of the loopback interface at which nobody listens until serve
@@ -107,7 +108,7 @@
 	} {
 		req.Header.Set(name, value)
 	}
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: maxWait}
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testsupport.MaxWait}
 	resp, err := client.Do(req)
 	if err != nil {
 		return "", err
