--- a/internal/doccheck/doccheck_test.go
+++ b/internal/doccheck/doccheck_test.go
@@ -37,9 +37,8 @@
 	}
 }
 
-// Guards the check itself: it names each kind of item that lacks a comment, and no other.
-func TestUndocumentedItems(t *testing.T) {
-	const source = `package p
+// checkedSource has items of each kind, with a comment and without.
+const checkedSource = `package p
 
 func Function() {}
 
@@ -72,8 +71,11 @@
 	Second = 2
 )
 `
+
+// Guards the check itself: it names each kind of item that lacks a comment, and no other.
+func TestUndocumentedItems(t *testing.T) {
 	set := token.NewFileSet()
-	syntax, err := parser.ParseFile(set, "p.go", source, parser.ParseComments)
+	syntax, err := parser.ParseFile(set, "p.go", checkedSource, parser.ParseComments)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -6,7 +6,6 @@
 	"io"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"strings"
 	"testing"
 	"time"
@@ -258,18 +257,9 @@
 // yet, and the context of its requests.
 func (h *harness) disconnectedClient() (context.Context, *frontend.Conn) {
 	h.t.Helper()
-	ln := testsupport.Listen(h.t)
-	client, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		h.t.Fatal(err)
-	}
 	tracker := frontend.NewTracker(1, frontend.NewMemoryBudget(0))
-	nc, err := frontend.NewListener(ln, tracker).Accept()
-	if err != nil {
-		h.t.Fatal(err)
-	}
-	h.t.Cleanup(func() { nc.Close() })
-	ctx := tracker.ConnContext(context.Background(), nc)
+	client, accepted := connect(h.t, frontend.NewListener(testsupport.Listen(h.t), tracker))
+	ctx := tracker.ConnContext(context.Background(), accepted)
 	conn := frontend.ConnFromContext(ctx)
 	if got := socket.Peek(conn.Conn); got != socket.Quiet {
 		h.t.Errorf("before the client disconnects: %d", got)
@@ -290,19 +280,8 @@
 	h.beginRequest("00000000000000aa", conn)
 	h.node.mu.Unlock()
 	testsupport.Eventually(t, "the end of the attempt", func() bool { return h.openRequests() == 0 })
-	func() {
-		defer func() {
-			if p := recover(); p != http.ErrAbortHandler {
-				t.Errorf("the handler ends with %v", p)
-			}
-		}()
-		req := httptest.NewRequest(http.MethodGet, "/lookup/x", nil)
-		ctx, _ := h.disconnectedClient()
-		req = req.WithContext(ctx)
-		req.Host = "x"
-		req.Header = lookupHeader()
-		h.node.ServeHTTP(httptest.NewRecorder(), req)
-	}()
+	ctx, _ := h.disconnectedClient()
+	h.expectAborted(ctx)
 	if got := endpoint.Requests(); len(got) > 0 {
 		t.Errorf("endpoint got %q", got)
 	}
--- a/internal/edge/handler_test.go
+++ b/internal/edge/handler_test.go
@@ -14,48 +14,53 @@
 	"swiftpitch/internal/testsupport"
 )
 
+const malformedID = "00000000000000aa"
+
+var bodyTooLong = strings.Repeat("x", frontend.MaxBodyBytes+1)
+
+// malformedRequests is the text of requests that are malformed, by what is wrong with them.
+var malformedRequests = map[string]string{
+	"class":         clientRequest("lookup", malformedID, "X-Qos: lookup", "X-Qos: nothing"),
+	"path":          clientRequest("lookup", malformedID, "/lookup/x", "/lookups"),
+	"plan":          clientRequest("lookup", malformedID, "basic", "gold"),
+	"id":            clientRequest("lookup", malformedID, "X-Trace-Id: "+malformedID+"\r\n", ""),
+	"id twice":      clientRequest("lookup", malformedID, "X-Qos", "X-Trace-Id: b\r\nX-Qos"),
+	"customer":      clientRequest("lookup", malformedID, "00000000b4d65521", "b4d65521"),
+	"customer high": clientRequest("lookup", malformedID, "00000000b4d65521", "00000002b4d65521"),
+	"deadline":      clientRequest("lookup", malformedID, "3000", "soon"),
+	"deadline none": clientRequest("lookup", malformedID, "3000", "0"),
+	"units":         clientRequest("lookup", malformedID, "units=2", "units=NaN"),
+	"units many":    clientRequest("lookup", malformedID, "units=2", "units=7"),
+	"spread":        clientRequest("lookup", malformedID, "spread=2", "spread=3"),
+	"first":         clientRequest("lookup", malformedID, "first=1", "first=2"),
+	"terms":         clientRequest("lookup", malformedID, ",first=1", ""),
+	"method":        clientRequest("merge", malformedID, "POST", "GET"),
+	"no key":        clientRequest("save", malformedID, "Idempotency-Key", "Other"),
+	"key":           clientRequest("merge", malformedID, "X-Qos", "Idempotency-Key: k\r\nX-Qos"),
+	"body":          clientRequest("merge", malformedID, "Content-Length: 10", fmt.Sprintf("Content-Length: %d", len(bodyTooLong)), "0123456789", bodyTooLong),
+	"chunked body": clientRequest("merge", malformedID, "Content-Length: 10", "Transfer-Encoding: chunked", "0123456789",
+		fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(bodyTooLong), bodyTooLong)),
+	"chunked in the limit": clientRequest("merge", malformedID, "Content-Length: 10", "Transfer-Encoding: chunked", "0123456789",
+		"a\r\n0123456789\r\n0\r\n\r\n"),
+	"both framings":   clientRequest("merge", malformedID, "Content-Length: 10", "Content-Length: 10\r\nTransfer-Encoding: chunked", "0123456789", "0\r\n\r\nGET /x"),
+	"both, HTTP/1.0":  clientRequest("merge", malformedID, "HTTP/1.1", "HTTP/1.0", "Content-Length: 10", "Content-Length: 10\r\nTransfer-Encoding: chunked"),
+	"lengths":         clientRequest("merge", malformedID, "Content-Length: 10", "Content-Length: 10\r\nContent-Length: 9"),
+	"length negative": clientRequest("merge", malformedID, "Content-Length: 10", "Content-Length: -10"),
+	"id form":         clientRequest("lookup", malformedID, malformedID, "00000000000000ag"),
+	"units hex":       clientRequest("lookup", malformedID, "units=2", "units=0x1p1"),
+	"units twice":     clientRequest("lookup", malformedID, "units=2", "units=2,units=3"),
+	"key bytes":       clientRequest("save", malformedID, "k-", "k\xff"),
+	"target bytes":    clientRequest("lookup", malformedID, "?q=1", "?q=\xff"),
+	"length":          clientRequest("merge", malformedID, "Content-Length: 10", "Content-Length: ten"),
+	"noise":           "\x00\x01\x02\r\n\r\n",
+}
+
 // Guards against malformed requests: they are answered 400 and nothing of them reaches an
 // endpoint.
 func TestMalformed(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
-	id := "00000000000000aa"
-	long := strings.Repeat("x", frontend.MaxBodyBytes+1)
-	for name, text := range map[string]string{
-		"class":         clientRequest("lookup", id, "X-Qos: lookup", "X-Qos: nothing"),
-		"path":          clientRequest("lookup", id, "/lookup/x", "/lookups"),
-		"plan":          clientRequest("lookup", id, "basic", "gold"),
-		"id":            clientRequest("lookup", id, "X-Trace-Id: "+id+"\r\n", ""),
-		"id twice":      clientRequest("lookup", id, "X-Qos", "X-Trace-Id: b\r\nX-Qos"),
-		"customer":      clientRequest("lookup", id, "00000000b4d65521", "b4d65521"),
-		"customer high": clientRequest("lookup", id, "00000000b4d65521", "00000002b4d65521"),
-		"deadline":      clientRequest("lookup", id, "3000", "soon"),
-		"deadline none": clientRequest("lookup", id, "3000", "0"),
-		"units":         clientRequest("lookup", id, "units=2", "units=NaN"),
-		"units many":    clientRequest("lookup", id, "units=2", "units=7"),
-		"spread":        clientRequest("lookup", id, "spread=2", "spread=3"),
-		"first":         clientRequest("lookup", id, "first=1", "first=2"),
-		"terms":         clientRequest("lookup", id, ",first=1", ""),
-		"method":        clientRequest("merge", id, "POST", "GET"),
-		"no key":        clientRequest("save", id, "Idempotency-Key", "Other"),
-		"key":           clientRequest("merge", id, "X-Qos", "Idempotency-Key: k\r\nX-Qos"),
-		"body":          clientRequest("merge", id, "Content-Length: 10", fmt.Sprintf("Content-Length: %d", len(long)), "0123456789", long),
-		"chunked body": clientRequest("merge", id, "Content-Length: 10", "Transfer-Encoding: chunked", "0123456789",
-			fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(long), long)),
-		"chunked in the limit": clientRequest("merge", id, "Content-Length: 10", "Transfer-Encoding: chunked", "0123456789",
-			"a\r\n0123456789\r\n0\r\n\r\n"),
-		"both framings":   clientRequest("merge", id, "Content-Length: 10", "Content-Length: 10\r\nTransfer-Encoding: chunked", "0123456789", "0\r\n\r\nGET /x"),
-		"both, HTTP/1.0":  clientRequest("merge", id, "HTTP/1.1", "HTTP/1.0", "Content-Length: 10", "Content-Length: 10\r\nTransfer-Encoding: chunked"),
-		"lengths":         clientRequest("merge", id, "Content-Length: 10", "Content-Length: 10\r\nContent-Length: 9"),
-		"length negative": clientRequest("merge", id, "Content-Length: 10", "Content-Length: -10"),
-		"id form":         clientRequest("lookup", id, id, "00000000000000ag"),
-		"units hex":       clientRequest("lookup", id, "units=2", "units=0x1p1"),
-		"units twice":     clientRequest("lookup", id, "units=2", "units=2,units=3"),
-		"key bytes":       clientRequest("save", id, "k-", "k\xff"),
-		"target bytes":    clientRequest("lookup", id, "?q=1", "?q=\xff"),
-		"length":          clientRequest("merge", id, "Content-Length: 10", "Content-Length: ten"),
-		"noise":           "\x00\x01\x02\r\n\r\n",
-	} {
+	for name, text := range malformedRequests {
 		t.Run(name, func(t *testing.T) {
 			c := h.dial()
 			go io.WriteString(c, text) // may be cut short by the answer
--- a/internal/edge/harness_test.go
+++ b/internal/edge/harness_test.go
@@ -8,6 +8,7 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"net/http/httptest"
 	"strings"
 	"testing"
 	"time"
@@ -103,6 +104,34 @@
 	return len(h.node.requests)
 }
 
+// expectAborted has the node serve a request of the class lookup, received on the connection of
+// ctx, and checks that the handler aborts it.
+func (h *harness) expectAborted(ctx context.Context) {
+	h.t.Helper()
+	defer func() {
+		if p := recover(); p != http.ErrAbortHandler {
+			h.t.Errorf("the handler ends with %v", p)
+		}
+	}()
+	req := httptest.NewRequest(http.MethodGet, "/lookup/x", nil).WithContext(ctx)
+	req.Host = "x"
+	req.Header = http.Header{"X-Trace-Id": {"00000000000000aa"}, "X-Qos": {"lookup"}, "Api-Plan": {"basic"},
+		"Api-Customer": {"00000000b4d65521"}, "X-Expires-In-Ms": {"3000"}, "Api-Terms": {"units=2,spread=2,first=1"}}
+	h.node.ServeHTTP(httptest.NewRecorder(), req)
+}
+
+// connect opens a client's connection to a listener and accepts it there.
+func connect(t *testing.T, listener net.Listener) (client, accepted net.Conn) {
+	t.Helper()
+	client = testsupport.Dial(t, listener.Addr().String())
+	accepted, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { accepted.Close() })
+	return client, accepted
+}
+
 // clientRequest is a well-formed request; edits replace parts of its text.
 func clientRequest(class, id string, edits ...string) string {
 	method, key, body := "GET", "", ""
--- a/internal/edge/readahead_test.go
+++ b/internal/edge/readahead_test.go
@@ -21,67 +21,81 @@
 	})
 }
 
+// Bytes of the read-ahead in internal/frontend.
+const (
+	readAheadChunk = 512                            // read at a time
+	maxReadAhead   = 16<<10 + frontend.MaxBodyBytes // kept at most: one whole request
+)
+
 // Guards what a client sends while its request is in flight: it is kept in its order, up
 // to a bound and to what the memory budget allows, and served once its turn comes.
 func TestBytesReadAheadAreKept(t *testing.T) {
-	const (
-		readAheadChunk = 512                            // bytes that internal/frontend reads at a time
-		maxReadAhead   = 16<<10 + frontend.MaxBodyBytes // bytes that it keeps: one whole request
-		small          = 2 * readAheadChunk
-	)
-	for name, room := range map[string]int64{"memory for all": 1 << 20, "little memory": small} {
-		t.Run(name, func(t *testing.T) {
-			release := make(chan struct{})
-			endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
-				<-release
-				id := req.Header.Get("X-Trace-Id")
-				_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s%s", len(id)+len(body), id, body)
-				return err == nil
-			})
-			cfg := testConfig(t)
-			cfg.Settings.Plans[0].Rate, cfg.Settings.Plans[0].Burst = 1e5, 1e5
-			h := startNode(t, cfg, endpoint.Addr)
-			h.node.memory.Reserve(h.node.memory.Free() - room)
-			c := h.dial()
-			io.WriteString(c, clientRequest("lookup", "0000000000000000"))
-			testsupport.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
-			var text strings.Builder
-			n := 1
-			for ; text.Len() < 2*maxReadAhead; n++ { // lines and bodies that tell if one is lost or out of place
-				body := fmt.Sprintf("%08d--", n)
-				text.WriteString(clientRequest("merge", fmt.Sprintf("%016x", n), "0123456789", body))
-			}
-			wrote := make(chan error, 1)
-			go func() {
-				_, err := io.WriteString(c, text.String())
-				wrote <- err
-			}()
-			awaitReadAhead(h, int(min(room, maxReadAhead)))
-			if left := h.node.memory.Free(); left < 0 || left > max(room-maxReadAhead+2*readAheadChunk, 0) {
-				t.Errorf("%d of %d bytes are left while %d are kept", left, room, maxReadAhead)
-			}
-			close(release)
-			for i := range n {
-				want := fmt.Sprintf("%016x", i)
-				if i > 0 {
-					want += fmt.Sprintf("%08d--", i)
-				}
-				if resp, body := c.readResponse(); resp.StatusCode != http.StatusOK || body != want {
-					t.Fatalf("answer %d: status %d, %q", i, resp.StatusCode, body)
-				}
-			}
-			if err := <-wrote; err != nil {
-				t.Error(err)
-			}
-			if k := len(endpoint.Requests()); k != n {
-				t.Errorf("endpoint got %d requests, want %d", k, n)
-			}
-			c.Close()
-			testsupport.Eventually(t, "the release of the memory", func() bool { return h.node.memory.Free() == room })
-		})
+	for name, memory := range map[string]int64{"memory for all": 1 << 20, "little memory": 2 * readAheadChunk} {
+		t.Run(name, func(t *testing.T) { testBytesReadAhead(t, memory) })
 	}
 }
 
+// testBytesReadAhead runs the test with so many bytes left of the memory budget.
+func testBytesReadAhead(t *testing.T, memory int64) {
+	release := make(chan struct{})
+	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+		<-release
+		id := req.Header.Get("X-Trace-Id")
+		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s%s", len(id)+len(body), id, body)
+		return err == nil
+	})
+	cfg := testConfig(t)
+	cfg.Settings.Plans[0].Rate, cfg.Settings.Plans[0].Burst = 1e5, 1e5
+	h := startNode(t, cfg, endpoint.Addr)
+	h.node.memory.Reserve(h.node.memory.Free() - memory)
+	c := h.dial()
+	io.WriteString(c, clientRequest("lookup", numberedID(0)))
+	testsupport.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
+	text, count := numberedRequests(2 * maxReadAhead)
+	wrote := make(chan error, 1)
+	go func() {
+		_, err := io.WriteString(c, text)
+		wrote <- err
+	}()
+	awaitReadAhead(h, int(min(memory, maxReadAhead)))
+	if left := h.node.memory.Free(); left < 0 || left > max(memory-maxReadAhead+2*readAheadChunk, 0) {
+		t.Errorf("%d of %d bytes are left while %d are kept", left, memory, maxReadAhead)
+	}
+	close(release)
+	if resp, body := c.readResponse(); resp.StatusCode != http.StatusOK || body != numberedID(0) {
+		t.Fatalf("response 0: status %d, %q", resp.StatusCode, body)
+	}
+	for i := 1; i <= count; i++ {
+		want := numberedID(i) + numberedBody(i)
+		if resp, body := c.readResponse(); resp.StatusCode != http.StatusOK || body != want {
+			t.Fatalf("response %d: status %d, %q", i, resp.StatusCode, body)
+		}
+	}
+	if err := <-wrote; err != nil {
+		t.Error(err)
+	}
+	if got := len(endpoint.Requests()); got != 1+count {
+		t.Errorf("endpoint got %d requests, want %d", got, 1+count)
+	}
+	c.Close()
+	testsupport.Eventually(t, "the release of the memory", func() bool { return h.node.memory.Free() == memory })
+}
+
+// numberedRequests returns the text of requests 1 to count, of at least minBytes together. Ids
+// and bodies tell if one is lost or out of place.
+func numberedRequests(minBytes int) (text string, count int) {
+	var requests strings.Builder
+	for requests.Len() < minBytes {
+		count++
+		requests.WriteString(clientRequest("merge", numberedID(count), "0123456789", numberedBody(count)))
+	}
+	return requests.String(), count
+}
+
+func numberedID(i int) string { return fmt.Sprintf("%016x", i) }
+
+func numberedBody(i int) string { return fmt.Sprintf("%08d--", i) }
+
 // Guards a begun request that was read ahead when the shutdown begins: its connection is not
 // idle, and the request is served.
 func TestShutdownCrossesBytesReadAhead(t *testing.T) {
--- a/internal/edge/shutdown_test.go
+++ b/internal/edge/shutdown_test.go
@@ -5,7 +5,6 @@
 	"io"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"testing"
 	"time"
 
@@ -100,63 +99,28 @@
 	}
 }
 
-// Guards against half of each when this side closes a connection that carries a
-// request: what was read before the close is dropped. That
-// nothing more is read is tested in internal/frontend.
+// Guards against half a request when this side closes a connection that carries one: what was
+// read before the close is dropped. That nothing more is read is tested in internal/frontend.
 func TestCloseCrossesARequest(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
-	ln := testsupport.Listen(t)
-	text := clientRequest("merge", "00000000000000aa")
-	client, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer client.Close()
 	tracker := frontend.NewTracker(1, frontend.NewMemoryBudget(0))
-	l := frontend.NewListener(ln, tracker)
-	c, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx := tracker.ConnContext(context.Background(), c)
+	listener := frontend.NewListener(testsupport.Listen(t), tracker)
+	client, conn := connect(t, listener)
+	ctx := tracker.ConnContext(context.Background(), conn)
+	text := clientRequest("merge", "00000000000000aa")
 	io.WriteString(client, text)
-	if _, err := io.ReadFull(c, make([]byte, len(text))); err != nil { // the library has read it
+	if _, err := io.ReadFull(conn, make([]byte, len(text))); err != nil { // the library has read it
 		t.Fatal(err)
 	}
-	other, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer other.Close()
-	newcomer, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer newcomer.Close()
-	tracker.ConnContext(context.Background(), newcomer) // evicts c, which is not yet busy
-	func() {
-		defer func() {
-			if p := recover(); p != http.ErrAbortHandler {
-				t.Errorf("the handler ends with %v", p)
-			}
-		}()
-		req := httptest.NewRequest(http.MethodGet, "/lookup/x", nil).WithContext(ctx)
-		req.Host = "x"
-		req.Header = lookupHeader()
-		h.node.ServeHTTP(httptest.NewRecorder(), req)
-	}()
+	_, newcomer := connect(t, listener)
+	tracker.ConnContext(context.Background(), newcomer) // evicts conn, which is not yet busy
+	h.expectAborted(ctx)
 	if got := endpoint.Requests(); len(got) > 0 {
 		t.Errorf("endpoint got %q", got)
 	}
 }
 
-// lookupHeader is the header of a request of the class lookup.
-func lookupHeader() http.Header {
-	return http.Header{"X-Trace-Id": {"00000000000000aa"}, "X-Qos": {"lookup"}, "Api-Plan": {"basic"},
-		"Api-Customer": {"00000000b4d65521"}, "X-Expires-In-Ms": {"3000"}, "Api-Terms": {"units=2,spread=2,first=1"}}
-}
-
 // receivedEvent is the event of a usual request.
 func receivedEvent(id string) policy.RequestReceived {
 	return policy.RequestReceived{RequestID: id, Timeout: time.Second, Units: 1, TenantGateways: 1}
--- a/internal/frontend/request_test.go
+++ b/internal/frontend/request_test.go
@@ -73,41 +73,47 @@
 	}
 }
 
+// setHeader returns an edit of a request that replaces the values of a header.
+func setHeader(name string, values ...string) func(*http.Request) {
+	return func(req *http.Request) { req.Header[name] = values }
+}
+
+// parseErrorTests are edits that make a well-formed request of a class malformed, and the texts
+// of the errors that come of them.
+var parseErrorTests = []struct {
+	class string
+	edit  func(*http.Request)
+	text  string
+}{
+	{"lookup", func(req *http.Request) { req.ProtoMinor = 0 }, "wanted: HTTP/1.1 with a Content-Length"},
+	{"merge", func(req *http.Request) { req.TransferEncoding = []string{"chunked"} }, "wanted: HTTP/1.1 with a Content-Length"},
+	{"lookup", func(req *http.Request) { req.Host = "a b" }, "target or Host can't be passed on"},
+	{"lookup", setHeader("X-Trace-Id"), "X-Trace-Id: wanted once"},
+	{"lookup", setHeader("X-Qos", "lookup", "lookup"), "X-Qos: wanted once"},
+	{"lookup", setHeader("Api-Terms", ""), "Api-Terms: wanted once"},
+	{"lookup", setHeader("Api-Plan", "gold"), "unknown class or plan"},
+	{"lookup", setHeader("X-Qos", "gold"), "unknown class or plan"},
+	{"lookup", setHeader("X-Trace-Id", "aa"), "X-Trace-Id: no id"},
+	{"lookup", func(req *http.Request) { req.RequestURI = "/lookups" }, "the path is not of class lookup"},
+	{"lookup", setHeader("Api-Customer", "00000002b4d65521"), "Api-Customer: no customer"},
+	{"lookup", setHeader("X-Expires-In-Ms", "0"), "X-Expires-In-Ms: no number of milliseconds"},
+	{"lookup", setHeader("Api-Terms", "units=NaN,spread=2,first=1"), `Api-Terms: "units" is no number`},
+	{"lookup", setHeader("Api-Terms", "units=2,units=3"), "Api-Terms: units stands twice"},
+	{"lookup", setHeader("Api-Terms", "units=7,spread=2,first=1"), "Api-Terms: units out of range"},
+	{"lookup", setHeader("Api-Terms", "units=2,spread=1.5,first=1"), "Api-Terms: spread out of range"},
+	{"lookup", setHeader("Api-Terms", "units=2,spread=2,first=2"), "Api-Terms: first out of range"},
+	{"lookup", setHeader("Api-Terms", "units=2,spread=2,other=1"), "Api-Terms: units, spread and first are wanted"},
+	{"merge", setHeader("Idempotency-Key", "k"), "method or Idempotency-Key does not fit class merge"},
+	{"save", setHeader("Idempotency-Key", strings.Repeat("k", 257)), "method or Idempotency-Key does not fit class save"},
+	{"lookup", func(req *http.Request) { req.ContentLength = 1 }, "body too long"},
+	{"merge", func(req *http.Request) { req.ContentLength = MaxBodyBytes + 1 }, "body too long"},
+	{"merge", func(req *http.Request) { req.ContentLength = 11 }, "body: unexpected EOF"},
+}
+
 // Guards what a client reads of a malformed request, and that the error names the header
 // or class at fault.
 func TestParseErrors(t *testing.T) {
-	set := func(name string, values ...string) func(*http.Request) {
-		return func(req *http.Request) { req.Header[name] = values }
-	}
-	for _, c := range []struct {
-		class string
-		edit  func(*http.Request)
-		text  string
-	}{
-		{"lookup", func(req *http.Request) { req.ProtoMinor = 0 }, "wanted: HTTP/1.1 with a Content-Length"},
-		{"merge", func(req *http.Request) { req.TransferEncoding = []string{"chunked"} }, "wanted: HTTP/1.1 with a Content-Length"},
-		{"lookup", func(req *http.Request) { req.Host = "a b" }, "target or Host can't be passed on"},
-		{"lookup", set("X-Trace-Id"), "X-Trace-Id: wanted once"},
-		{"lookup", set("X-Qos", "lookup", "lookup"), "X-Qos: wanted once"},
-		{"lookup", set("Api-Terms", ""), "Api-Terms: wanted once"},
-		{"lookup", set("Api-Plan", "gold"), "unknown class or plan"},
-		{"lookup", set("X-Qos", "gold"), "unknown class or plan"},
-		{"lookup", set("X-Trace-Id", "aa"), "X-Trace-Id: no id"},
-		{"lookup", func(req *http.Request) { req.RequestURI = "/lookups" }, "the path is not of class lookup"},
-		{"lookup", set("Api-Customer", "00000002b4d65521"), "Api-Customer: no customer"},
-		{"lookup", set("X-Expires-In-Ms", "0"), "X-Expires-In-Ms: no number of milliseconds"},
-		{"lookup", set("Api-Terms", "units=NaN,spread=2,first=1"), `Api-Terms: "units" is no number`},
-		{"lookup", set("Api-Terms", "units=2,units=3"), "Api-Terms: units stands twice"},
-		{"lookup", set("Api-Terms", "units=7,spread=2,first=1"), "Api-Terms: units out of range"},
-		{"lookup", set("Api-Terms", "units=2,spread=1.5,first=1"), "Api-Terms: spread out of range"},
-		{"lookup", set("Api-Terms", "units=2,spread=2,first=2"), "Api-Terms: first out of range"},
-		{"lookup", set("Api-Terms", "units=2,spread=2,other=1"), "Api-Terms: units, spread and first are wanted"},
-		{"merge", set("Idempotency-Key", "k"), "method or Idempotency-Key does not fit class merge"},
-		{"save", set("Idempotency-Key", strings.Repeat("k", 257)), "method or Idempotency-Key does not fit class save"},
-		{"lookup", func(req *http.Request) { req.ContentLength = 1 }, "body too long"},
-		{"merge", func(req *http.Request) { req.ContentLength = MaxBodyBytes + 1 }, "body too long"},
-		{"merge", func(req *http.Request) { req.ContentLength = 11 }, "body: unexpected EOF"},
-	} {
+	for _, c := range parseErrorTests {
 		req := newHTTPRequest(c.class)
 		c.edit(req)
 		_, err := NewParser(parserSettings()).Parse(req)
