--- a/internal/policy/attempt_test.go
+++ b/internal/policy/attempt_test.go
@@ -10,18 +10,18 @@
 
 func TestNonIdempotentIsNeitherRetriedNorRejectedAfterItMayHaveRun(t *testing.T) {
 	for _, outcome := range []policy.Outcome{policy.ServerError, policy.ConnectionLost, policy.TimedOut, policy.Canceled} {
-		r := newRig(t, settings(), 6)
-		id, actions := r.arrive(2, 1, 1, 1)
-		actions = r.step(policy.AttemptEnded{RequestID: id, Endpoint: sent(actions)[0].Endpoint, Outcome: outcome, Latency: ms})
-		if len(sent(actions)) > 0 || has[policy.Reject](actions) || !has[policy.Fail](actions) {
+		h := newHarness(t, settings(), 6)
+		id, actions := h.receive(2, 1, 1, 1)
+		actions = h.step(policy.AttemptEnded{RequestID: id, Endpoint: startedAttempts(actions)[0].Endpoint, Outcome: outcome, Latency: ms})
+		if len(startedAttempts(actions)) > 0 || hasAction[policy.Reject](actions) || !hasAction[policy.Fail](actions) {
 			t.Errorf("outcome %d: %v, want a failure alone", outcome, actions)
 		}
 	}
 	for _, outcome := range []policy.Outcome{policy.Overloaded, policy.ConnectFailed} {
-		r := newRig(t, settings(), 6)
-		id, actions := r.arrive(2, 1, 1, 1)
-		actions = r.step(policy.AttemptEnded{RequestID: id, Endpoint: sent(actions)[0].Endpoint, Outcome: outcome, Latency: ms})
-		if len(sent(actions)) != 1 {
+		h := newHarness(t, settings(), 6)
+		id, actions := h.receive(2, 1, 1, 1)
+		actions = h.step(policy.AttemptEnded{RequestID: id, Endpoint: startedAttempts(actions)[0].Endpoint, Outcome: outcome, Latency: ms})
+		if len(startedAttempts(actions)) != 1 {
 			t.Errorf("outcome %d: %v, want a retry: it never ran", outcome, actions)
 		}
 	}
@@ -30,21 +30,21 @@
 func TestIdempotentByKeyStaysInItsZoneAndWindow(t *testing.T) {
 	zones := map[string]int{}
 	for i := range 6 {
-		zones[server(i).ID] = server(i).Zone
+		zones[testEndpoint(i).ID] = testEndpoint(i).Zone
 	}
 	for seed := range uint64(20) {
 		set := settings()
 		set.Seed = seed
-		r := newRig(t, set, 6)
-		id, actions := r.arrive(1, 1, 1, 1)
-		first := sent(actions)[0].Endpoint
-		actions = r.step(policy.AttemptEnded{RequestID: id, Endpoint: first, Outcome: policy.ServerError, Latency: ms})
-		for _, attempt := range sent(actions) {
+		h := newHarness(t, set, 6)
+		id, actions := h.receive(1, 1, 1, 1)
+		first := startedAttempts(actions)[0].Endpoint
+		actions = h.step(policy.AttemptEnded{RequestID: id, Endpoint: first, Outcome: policy.ServerError, Latency: ms})
+		for _, attempt := range startedAttempts(actions) {
 			if zones[attempt.Endpoint] != zones[first] {
 				t.Fatal("a request that may have run, idempotent by its key, left its zone")
 			}
 		}
-		if has[policy.Reject](actions) {
+		if hasAction[policy.Reject](actions) {
 			t.Fatal("rejected though a retry elsewhere may run it twice")
 		}
 	}
@@ -53,17 +53,17 @@
 func TestStartedResponseIsLeftAlone(t *testing.T) {
 	set := settings()
 	set.Classes[0].Streaming = true
-	r := newRig(t, set, 6)
-	id, actions := r.arrive(0, 1, 1, 1)
-	first := sent(actions)[0]
+	h := newHarness(t, set, 6)
+	id, actions := h.receive(0, 1, 1, 1)
+	first := startedAttempts(actions)[0]
 	if first.Timeout != 0 {
 		t.Errorf("an attempt with a streamed response has a timeout of %v", first.Timeout)
 	}
-	r.step(policy.ResponseStarted{RequestID: id, Endpoint: first.Endpoint, Latency: 20 * ms})
-	if actions := r.run(10*time.Second, totals(0)); len(sent(actions)) > 0 {
+	h.step(policy.ResponseStarted{RequestID: id, Endpoint: first.Endpoint, Latency: 20 * ms})
+	if actions := h.advance(10*time.Second, replyWithTotal(0)); len(startedAttempts(actions)) > 0 {
 		t.Error("a hedged attempt after the response had started")
 	}
-	if actions := r.step(policy.ClientDisconnected{RequestID: id}); has[policy.CancelAttempt](actions) {
+	if actions := h.step(policy.ClientDisconnected{RequestID: id}); hasAction[policy.CancelAttempt](actions) {
 		t.Error("an attempt was canceled though its response had started")
 	}
 }
@@ -73,19 +73,19 @@
 		utilization float64
 		hedges      bool
 	}{{0.3, true}, {0.95, false}} {
-		r := newRig(t, settings(), 6)
+		h := newHarness(t, settings(), 6)
 		for range 100 {
-			r.run(10*ms, totals(0))
-			id, actions := r.arrive(0, 1, 1, 1)
-			for _, attempt := range sent(actions) {
-				r.step(policy.AttemptEnded{RequestID: id, Endpoint: attempt.Endpoint, Outcome: policy.Succeeded, Latency: 20 * ms,
+			h.advance(10*ms, replyWithTotal(0))
+			id, actions := h.receive(0, 1, 1, 1)
+			for _, attempt := range startedAttempts(actions) {
+				h.step(policy.AttemptEnded{RequestID: id, Endpoint: attempt.Endpoint, Outcome: policy.Succeeded, Latency: 20 * ms,
 					RequestDone: true, Report: policy.LoadReport{Utilization: &c.utilization}})
 			}
 		}
-		if _, actions := r.arrive(0, 1, 1, 1); len(sent(actions)) != 1 {
+		if _, actions := h.receive(0, 1, 1, 1); len(startedAttempts(actions)) != 1 {
 			t.Fatal("not forwarded")
 		}
-		if hedged := len(sent(r.run(400*ms, totals(0)))) > 0; hedged != c.hedges {
+		if hedged := len(startedAttempts(h.advance(400*ms, replyWithTotal(0)))) > 0; hedged != c.hedges {
 			t.Errorf("utilization %v: a hedged attempt %v, want %v", c.utilization, hedged, c.hedges)
 		}
 	}
@@ -97,58 +97,58 @@
 	for _, allowCancel := range []bool{true, false} {
 		set := settings()
 		set.AllowCancel = allowCancel
-		r := newRig(t, set, 8)
-		id, actions := r.arrive(0, 1, 1, 1)
-		attempts := sent(actions)
+		h := newHarness(t, set, 8)
+		id, actions := h.receive(0, 1, 1, 1)
+		attempts := startedAttempts(actions)
 		if len(attempts) != 1 {
 			t.Fatalf("attempts %v", attempts)
 		}
-		expectNoAttempt(t, r.step(policy.ClientDisconnected{RequestID: id}))
-		expectNoAttempt(t, r.run(time.Second, totals(0))) // in which a hedged attempt would start
-		expectNoAttempt(t, r.step(policy.AttemptEnded{RequestID: id, Endpoint: attempts[0].Endpoint,
+		expectNoAttempt(t, h.step(policy.ClientDisconnected{RequestID: id}))
+		expectNoAttempt(t, h.advance(time.Second, replyWithTotal(0))) // in which a hedged attempt would start
+		expectNoAttempt(t, h.step(policy.AttemptEnded{RequestID: id, Endpoint: attempts[0].Endpoint,
 			Outcome: policy.Overloaded, Latency: time.Second, RequestDone: true}))
-		expectNoAttempt(t, r.run(time.Second, totals(0)))
+		expectNoAttempt(t, h.advance(time.Second, replyWithTotal(0)))
 	}
 	const noReply policy.Outcome = -1
 	for _, outcome := range []policy.Outcome{policy.Succeeded, policy.Overloaded, policy.TimedOut, noReply} {
 		set := settings()
 		set.Plans[0].OverQuotaCost = 1
-		r := newRig(t, set, 8)
-		id := r.arriveHeld()
-		expectNoAttempt(t, r.step(policy.ClientDisconnected{RequestID: id}))
+		h := newHarness(t, set, 8)
+		id := h.receiveUntilHeld()
+		expectNoAttempt(t, h.step(policy.ClientDisconnected{RequestID: id}))
 		reply := func(call policy.AddToCounter) policy.CounterReplied {
 			return policy.CounterReplied{Key: call.Key, Outcome: outcome, Total: max(call.Units, 0)}
 		}
 		if outcome == noReply {
 			reply = nil
 		}
-		expectNoAttempt(t, r.run(5*time.Second, reply))
+		expectNoAttempt(t, h.advance(5*time.Second, reply))
 	}
 }
 
 func expectNoAttempt(t *testing.T, actions []policy.Action) {
 	t.Helper()
-	if attempts := sent(actions); len(attempts) > 0 {
+	if attempts := startedAttempts(actions); len(attempts) > 0 {
 		t.Errorf("attempts %v", attempts)
 	}
 }
 
-// arriveHeld hands over requests of small tenants, of which a part calls the counter, until
+// receiveUntilHeld hands over requests of small tenants, of which a part calls the counter, until
 // one is held for its reply, and returns that one's id.
-func (r *rig) arriveHeld() string {
-	r.t.Helper()
+func (h *harness) receiveUntilHeld() string {
+	h.t.Helper()
 	for i := range 100 {
 		id := fmt.Sprintf("%016x", i)
-		actions := r.step(policy.RequestReceived{RequestID: id, Tenant: uint64(i), Timeout: 2 * time.Second,
+		actions := h.step(policy.RequestReceived{RequestID: id, Tenant: uint64(i), Timeout: 2 * time.Second,
 			Units: 1, TenantGateways: 60})
-		attempts := sent(actions)
-		if len(attempts) == 0 && has[policy.AddToCounter](actions) {
+		attempts := startedAttempts(actions)
+		if len(attempts) == 0 && hasAction[policy.AddToCounter](actions) {
 			return id
 		}
 		for _, attempt := range attempts {
-			r.pass(id, attempt)
+			h.succeed(id, attempt)
 		}
 	}
-	r.t.Fatal("no request is held for the counter")
+	h.t.Fatal("no request is held for the counter")
 	return ""
 }
--- a/internal/policy/balancer_test.go
+++ b/internal/policy/balancer_test.go
@@ -7,13 +7,13 @@
 	usedBy := func(gatewayIndex int) map[string]bool {
 		set := settings()
 		set.Gateways, set.GatewayIndex = 200, gatewayIndex
-		r := newRig(t, set, 100)
+		h := newHarness(t, set, 100)
 		used := map[string]bool{}
 		for range 500 {
-			id, actions := r.arrive(0, 1, 1, 1)
-			for _, attempt := range sent(actions) {
+			id, actions := h.receive(0, 1, 1, 1)
+			for _, attempt := range startedAttempts(actions) {
 				used[attempt.Endpoint] = true
-				r.pass(id, attempt)
+				h.succeed(id, attempt)
 			}
 		}
 		return used
--- a/internal/policy/endpoint_test.go
+++ b/internal/policy/endpoint_test.go
@@ -10,17 +10,17 @@
 )
 
 func TestDrainingEndpointGetsNoAttempt(t *testing.T) {
-	r := newRig(t, settings(), 2)
-	draining := server(0)
+	h := newHarness(t, settings(), 2)
+	draining := testEndpoint(0)
 	draining.State = policy.Draining
-	r.step(policy.EndpointsUpdated{Scope: policy.IncrementalUpdate, Endpoints: []policy.Endpoint{draining}})
+	h.step(policy.EndpointsUpdated{Scope: policy.IncrementalUpdate, Endpoints: []policy.Endpoint{draining}})
 	for range 50 {
-		id, actions := r.arrive(0, 1, 1, 1)
-		for _, attempt := range sent(actions) {
+		id, actions := h.receive(0, 1, 1, 1)
+		for _, attempt := range startedAttempts(actions) {
 			if attempt.Endpoint == "s0" {
 				t.Fatal("attempt at a draining endpoint")
 			}
-			r.pass(id, attempt)
+			h.succeed(id, attempt)
 		}
 	}
 }
@@ -28,12 +28,12 @@
 // Guards a gateway that runs for long against growth: endpoints that others replace
 // under new names are forgotten.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
-	r := newRig(t, settings(), 1)
+	h := newHarness(t, settings(), 1)
 	replace := func(from, to int) {
 		for i := from; i < to; i++ {
 			removed := policy.Endpoint{ID: fmt.Sprint("n", i-1), State: policy.Removed}
 			added := policy.Endpoint{ID: fmt.Sprint("n", i), Weight: 1}
-			r.step(policy.EndpointsUpdated{Scope: policy.IncrementalUpdate, Endpoints: []policy.Endpoint{removed, added}})
+			h.step(policy.EndpointsUpdated{Scope: policy.IncrementalUpdate, Endpoints: []policy.Endpoint{removed, added}})
 		}
 	}
 	heap := func() uint64 {
@@ -48,7 +48,7 @@
 	if after := heap(); after > before+200_000 {
 		t.Errorf("%d removed endpoints take %d bytes", 2900, after-before)
 	}
-	runtime.KeepAlive(r)
+	runtime.KeepAlive(h)
 }
 
 func TestSubscribesWhereDiscoveryRequiresIt(t *testing.T) {
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	actions := gateway.Step(0, policy.EndpointsUpdated{Scope: policy.CachedUpdate}, nil)
-	if !has[policy.WatchEndpoints](actions) {
+	if !hasAction[policy.WatchEndpoints](actions) {
 		t.Error("no subscription at the start")
 	}
 	actions = gateway.Step(time.Second, policy.EndpointsUpdated{Scope: policy.FailedUpdate}, nil)
@@ -68,7 +68,7 @@
 	}
 	retry := actions[len(actions)-1].(policy.StartTimer)
 	actions = gateway.Step(time.Second+retry.After, policy.TimerFired{TimerID: retry.TimerID}, nil)
-	if !has[policy.WatchEndpoints](actions) {
+	if !hasAction[policy.WatchEndpoints](actions) {
 		t.Error("no new subscription after a failure")
 	}
 }
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -13,25 +13,25 @@
 
 const (
 	fleetGateways = 80
-	fleetServers  = 60
+	fleetEndpoints  = 60
 )
 
-// fleetOf starts n gateways that differ in index and seed, with the same list of endpoints.
-func fleetOf(t *testing.T, n int, set policy.Settings, servers []policy.Endpoint) []*rig {
+// newFleet starts n gateways that differ in index and seed, with the same list of endpoints.
+func newFleet(t *testing.T, n int, set policy.Settings, servers []policy.Endpoint) []*harness {
 	t.Helper()
-	var rigs []*rig
+	var rigs []*harness
 	for i := range n {
 		set.Seed, set.GatewayIndex, set.Gateways = uint64(i+1), i, n
-		r := rigAt(t, time.Minute, set, 0)
-		r.step(policy.EndpointsUpdated{Scope: policy.FullUpdate, Endpoints: servers})
-		rigs = append(rigs, r)
+		h := newHarnessAt(t, time.Minute, set, 0)
+		h.step(policy.EndpointsUpdated{Scope: policy.FullUpdate, Endpoints: servers})
+		rigs = append(rigs, h)
 	}
 	return rigs
 }
 
-// fleetList is a list of endpoints of which the first have just started.
-func fleetList(now time.Duration, warmingUp int) (list []policy.Endpoint) {
-	for i := range fleetServers {
+// newEndpointList is a list of endpoints of which the first have just started.
+func newEndpointList(now time.Duration, warmingUp int) (list []policy.Endpoint) {
+	for i := range fleetEndpoints {
 		s := policy.Endpoint{ID: fmt.Sprint("s", i), Weight: 1}
 		if i < warmingUp {
 			s.StartedAt = now
@@ -48,23 +48,23 @@
 			set.SlowStartCapacity, set.SlowStartDuration = 0.4, time.Hour // these stay at 0.4
 			attempts := map[string]float64{}
 			total := 0.0
-			for _, r := range fleetOf(t, fleetGateways, set, fleetList(time.Minute, warmingUp)) {
+			for _, h := range newFleet(t, fleetGateways, set, newEndpointList(time.Minute, warmingUp)) {
 				for range 300 {
-					r.run(10*ms, totals(0))
-					id, as := r.arrive(0, 1, 1, 1)
-					for _, s := range sent(as) {
+					h.advance(10*ms, replyWithTotal(0))
+					id, actions := h.receive(0, 1, 1, 1)
+					for _, s := range startedAttempts(actions) {
 						attempts[s.Endpoint]++
 						total++
-						r.pass(id, s)
+						h.succeed(id, s)
 					}
 				}
 			}
-			capacity := float64(fleetServers-warmingUp) + float64(warmingUp)*set.SlowStartCapacity
+			capacity := float64(fleetEndpoints-warmingUp) + float64(warmingUp)*set.SlowStartCapacity
 			toWarmingUp, most := 0.0, 0.0
 			for i := range warmingUp {
 				k := attempts[fmt.Sprint("s", i)]
 				toWarmingUp += k
-				most = max(most, k/(total/fleetServers*set.SlowStartCapacity))
+				most = max(most, k/(total/fleetEndpoints*set.SlowStartCapacity))
 			}
 			want := float64(warmingUp) * set.SlowStartCapacity / capacity
 			if toWarmingUp/total < 0.75*want || toWarmingUp/total > 1.25*want {
@@ -77,26 +77,26 @@
 	}
 }
 
-// line is a counter service that works on calls in turn, only so many a second.
-type line struct {
-	numbers
-	each   time.Duration // for one call
+// queueingCounter is a counter service that works on calls in turn, only so many a second.
+type queueingCounter struct {
+	fakeCounter
+	serviceTime   time.Duration // for one call
 	idleAt time.Duration // when all calls so far are done
 	calls  int
 }
 
 // call returns when the reply comes.
-func (l *line) call(now time.Duration) time.Duration {
+func (l *queueingCounter) call(now time.Duration) time.Duration {
 	l.calls++
-	l.idleAt = max(l.idleAt, now) + l.each
+	l.idleAt = max(l.idleAt, now) + l.serviceTime
 	return l.idleAt
 }
 
 // dueReply is a reply on its way to a gateway.
 type dueReply struct {
 	at  time.Duration
-	rig *rig
-	ev  policy.CounterReplied
+	gateway *harness
+	reply  policy.CounterReplied
 }
 
 // tenantRate is how many requests a second a tenant offers, by its number and the time since the start.
@@ -105,33 +105,33 @@
 // tenantTraffic offers requests of one unit of plan 0 to gateways, each tenant's at its rate, before a counter that
 // is a line.
 type tenantTraffic struct {
-	rigs    []*rig
-	counter *line
+	gateways    []*harness
+	counter *queueingCounter
 	rng     *rand.Rand
 	tenants int
 	rate    tenantRate
-	see     func(tenant int, now time.Duration, forwarded bool) // each request as it is offered or forwarded; may be nil
+	observe     func(tenant int, now time.Duration, forwarded bool) // each request as it is offered or forwarded; may be nil
 
 	offered   []float64 // by tenant
 	forwarded []float64
 	replies   []dueReply
-	owner     map[string]int // of a request
+	tenantOf     map[string]int // of a request
 }
 
 // run offers requests for a while. What it offered and what was forwarded are counted from zero.
 func (tr *tenantTraffic) run(d time.Duration) {
 	tr.offered, tr.forwarded = make([]float64, tr.tenants), make([]float64, tr.tenants)
 	tr.replies = nil
-	tr.owner = map[string]int{}
-	start := tr.rigs[0].now
+	tr.tenantOf = map[string]int{}
+	start := tr.gateways[0].now
 	for now := start; now < start+d; now += ms {
-		for _, r := range tr.rigs {
-			tr.take(r, r.run(now-r.now, nil))
+		for _, h := range tr.gateways {
+			tr.handle(h, h.advance(now-h.now, nil))
 		}
 		for len(tr.replies) > 0 && tr.replies[0].at <= now {
 			reply := tr.replies[0]
 			tr.replies = tr.replies[1:]
-			tr.take(reply.rig, reply.rig.step(reply.ev))
+			tr.handle(reply.gateway, reply.gateway.step(reply.reply))
 		}
 		for tenant := range tr.tenants {
 			if tr.rng.Float64() < tr.rate(tenant, now-start)/1000 {
@@ -144,32 +144,32 @@
 // offer hands a tenant's request to a random gateway.
 func (tr *tenantTraffic) offer(tenant int, now time.Duration) {
 	tr.offered[tenant]++
-	if tr.see != nil {
-		tr.see(tenant, now, false)
+	if tr.observe != nil {
+		tr.observe(tenant, now, false)
 	}
-	r := tr.rigs[tr.rng.IntN(len(tr.rigs))]
-	id := fmt.Sprint(tenant, ".", len(tr.owner))
-	tr.owner[id] = tenant
-	tr.take(r, r.step(policy.RequestReceived{RequestID: id, Tenant: uint64(tenant + 1), Timeout: 2 * time.Second, Units: 1,
-		TenantGateways: len(tr.rigs)}))
+	h := tr.gateways[tr.rng.IntN(len(tr.gateways))]
+	id := fmt.Sprint(tenant, ".", len(tr.tenantOf))
+	tr.tenantOf[id] = tenant
+	tr.handle(h, h.step(policy.RequestReceived{RequestID: id, Tenant: uint64(tenant + 1), Timeout: 2 * time.Second, Units: 1,
+		TenantGateways: len(tr.gateways)}))
 }
 
-// take ends the attempts that a gateway starts and hands its calls to the counter.
-func (tr *tenantTraffic) take(r *rig, as []policy.Action) {
-	for _, a := range as {
+// handle ends the attempts that a gateway starts and hands its calls to the counter.
+func (tr *tenantTraffic) handle(h *harness, actions []policy.Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case policy.StartAttempt:
-			tenant := tr.owner[a.RequestID]
+			tenant := tr.tenantOf[a.RequestID]
 			tr.forwarded[tenant]++
-			if tr.see != nil {
-				tr.see(tenant, r.now, true)
+			if tr.observe != nil {
+				tr.observe(tenant, h.now, true)
 			}
-			r.pass(a.RequestID, a)
+			h.succeed(a.RequestID, a)
 		case policy.AddToCounter:
-			tr.replies = append(tr.replies, dueReply{tr.counter.call(r.now), r, tr.counter.add(a)})
+			tr.replies = append(tr.replies, dueReply{tr.counter.call(h.now), h, tr.counter.add(a)})
 		}
 	}
-	r.counts = r.counts[:0]
+	h.counterCalls = h.counterCalls[:0]
 }
 
 func TestFleetFillsAndKeepsTheQuotaOfWidelySpreadTenants(t *testing.T) {
@@ -179,8 +179,8 @@
 	set.Plans[0].OverQuotaCost = 1
 	const seconds = 60
 	traffic := &tenantTraffic{
-		rigs:    fleetOf(t, 60, set, fleetList(0, 0)),
-		counter: &line{numbers: numbers{}, each: 200 * time.Microsecond},
+		gateways:    newFleet(t, 60, set, newEndpointList(0, 0)),
+		counter: &queueingCounter{fakeCounter: fakeCounter{}, serviceTime: 200 * time.Microsecond},
 		rng:     rand.New(rand.NewPCG(5, 6)),
 		tenants: 20,
 		rate: func(tenant int, since time.Duration) float64 {
@@ -210,15 +210,15 @@
 	}
 }
 
-func TestFleetKeepsTheCountersLineShort(t *testing.T) {
+func TestFleetKeepsTheCountersQueueShort(t *testing.T) {
 	// The counter serves a third of what the fleet would call. What waits for it longer than requests are held is
 	// of no use, so the gateways together must call less than it serves.
 	set := settings()
 	set.Plans[0].OverQuotaCost = 1
-	counter := &line{numbers: numbers{}, each: 10 * ms}
-	rigs := fleetOf(t, 60, set, fleetList(0, 0))
+	counter := &queueingCounter{fakeCounter: fakeCounter{}, serviceTime: 10 * ms}
+	rigs := newFleet(t, 60, set, newEndpointList(0, 0))
 	traffic := &tenantTraffic{
-		rigs:    rigs,
+		gateways:    rigs,
 		counter: counter,
 		rng:     rand.New(rand.NewPCG(7, 8)),
 		tenants: 20,
@@ -235,14 +235,14 @@
 	}
 }
 
-// bucket is a tenant's quota as it truly is: a token bucket that fills at a rate.
-type bucket struct {
+// tokenBucket is a tenant's quota as it truly is: a token tokenBucket that fills at a rate.
+type tokenBucket struct {
 	rate, burst, tokens float64
 	at                  time.Duration
 }
 
 // take takes a unit if there is one.
-func (b *bucket) take(now time.Duration) bool {
+func (b *tokenBucket) take(now time.Duration) bool {
 	b.tokens = min(b.burst, b.tokens+(now-b.at).Seconds()*b.rate)
 	b.at = now
 	if b.tokens < 1 {
@@ -252,32 +252,32 @@
 	return true
 }
 
-// trueQuotas counts by true token buckets what is asked and what is forwarded inside the quotas and over them.
-type trueQuotas struct {
-	asked     []bucket // by tenant, drained by what it asks
-	forwarded []bucket // drained by what is forwarded
+// quotaOracle counts by true token buckets what is asked and what is forwarded inside the quotas and over them.
+type quotaOracle struct {
+	offered     []tokenBucket // by tenant, drained by what it asks
+	forwarded []tokenBucket // drained by what is forwarded
 
-	askedInside, forwardedInside, forwardedOver float64
+	offeredWithin, forwardedWithin, forwardedOver float64
 }
 
-// newTrueQuotas returns full buckets of plan 0.
-func newTrueQuotas(tenants int, now time.Duration) *trueQuotas {
-	q := &trueQuotas{asked: make([]bucket, tenants), forwarded: make([]bucket, tenants)}
+// newQuotaOracle returns full buckets of plan 0.
+func newQuotaOracle(tenants int, now time.Duration) *quotaOracle {
+	q := &quotaOracle{offered: make([]tokenBucket, tenants), forwarded: make([]tokenBucket, tenants)}
 	for i := range tenants {
-		q.asked[i] = bucket{rate: 4, burst: 8, tokens: 8, at: now}
-		q.forwarded[i] = q.asked[i]
+		q.offered[i] = tokenBucket{rate: 4, burst: 8, tokens: 8, at: now}
+		q.forwarded[i] = q.offered[i]
 	}
 	return q
 }
 
-func (q *trueQuotas) see(tenant int, now time.Duration, forwarded bool) {
+func (q *quotaOracle) observe(tenant int, now time.Duration, forwarded bool) {
 	switch {
 	case forwarded && q.forwarded[tenant].take(now):
-		q.forwardedInside++
+		q.forwardedWithin++
 	case forwarded:
 		q.forwardedOver++
-	case q.asked[tenant].take(now):
-		q.askedInside++
+	case q.offered[tenant].take(now):
+		q.offeredWithin++
 	}
 }
 
@@ -303,22 +303,22 @@
 		t.Run(fmt.Sprint("a call each ", each), func(t *testing.T) {
 			set := settings()
 			set.Plans[0].OverQuotaCost = 1
-			rigs := fleetOf(t, gateways, set, fleetList(0, 0))
-			quotas := newTrueQuotas(tenants, rigs[0].now)
+			rigs := newFleet(t, gateways, set, newEndpointList(0, 0))
+			quotas := newQuotaOracle(tenants, rigs[0].now)
 			traffic := &tenantTraffic{
-				rigs:    rigs,
-				counter: &line{numbers: numbers{}, each: each},
+				gateways:    rigs,
+				counter: &queueingCounter{fakeCounter: fakeCounter{}, serviceTime: each},
 				rng:     rand.New(rand.NewPCG(9, 10)),
 				tenants: tenants,
 				rate:    calmDayRate,
-				see:     quotas.see,
+				observe:     quotas.observe,
 			}
 			traffic.run(seconds * time.Second)
-			if quotas.forwardedOver > 0.1*quotas.askedInside {
-				t.Errorf("%.3f of what is asked inside the quotas was forwarded over them", quotas.forwardedOver/quotas.askedInside)
+			if quotas.forwardedOver > 0.1*quotas.offeredWithin {
+				t.Errorf("%.3f of what is asked inside the quotas was forwarded over them", quotas.forwardedOver/quotas.offeredWithin)
 			}
-			if quotas.forwardedInside < 0.75*quotas.askedInside { // rejecting all costs nothing
-				t.Errorf("%.3f of what is asked inside the quotas was forwarded", quotas.forwardedInside/quotas.askedInside)
+			if quotas.forwardedWithin < 0.75*quotas.offeredWithin { // rejecting all costs nothing
+				t.Errorf("%.3f of what is asked inside the quotas was forwarded", quotas.forwardedWithin/quotas.offeredWithin)
 			}
 		})
 	}
--- a/internal/policy/gateway_test.go
+++ b/internal/policy/gateway_test.go
@@ -37,14 +37,14 @@
 	}
 }
 
-// rig drives one gateway by hand.
-type rig struct {
+// harness drives one gateway by hand.
+type harness struct {
 	t      *testing.T
-	g      *policy.Gateway
+	gateway      *policy.Gateway
 	now    time.Duration
 	timers []timer
-	serial int                   // of the last request
-	counts []policy.AddToCounter // calls not answered yet
+	requests int                   // of the last request
+	counterCalls []policy.AddToCounter // calls not answered yet
 }
 
 // timer is a timer that the gateway asked for and that has not fired.
@@ -53,96 +53,96 @@
 	id uint64
 }
 
-// newRig returns a rig whose gateway knows a number of endpoints, at a time that suits most tests.
-func newRig(t *testing.T, set policy.Settings, servers int) *rig {
+// newHarness returns a rig whose gateway knows a number of endpoints, at a time that suits most tests.
+func newHarness(t *testing.T, set policy.Settings, servers int) *harness {
 	t.Helper()
-	return rigAt(t, 1000*time.Second, set, servers)
+	return newHarnessAt(t, 1000*time.Second, set, servers)
 }
 
-func rigAt(t *testing.T, now time.Duration, set policy.Settings, servers int) *rig {
+func newHarnessAt(t *testing.T, now time.Duration, set policy.Settings, servers int) *harness {
 	t.Helper()
-	r := &rig{t: t, now: now}
-	g, err := policy.New(r.now, set)
+	h := &harness{t: t, now: now}
+	g, err := policy.New(h.now, set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.g = g
+	h.gateway = g
 	list := policy.EndpointsUpdated{Scope: policy.CachedUpdate}
 	for i := range servers {
-		list.Endpoints = append(list.Endpoints, server(i))
+		list.Endpoints = append(list.Endpoints, testEndpoint(i))
 	}
-	r.step(list)
-	return r
+	h.step(list)
+	return h
 }
 
-func server(i int) policy.Endpoint {
+func testEndpoint(i int) policy.Endpoint {
 	return policy.Endpoint{ID: fmt.Sprint("s", i), Zone: i % 2, Weight: 1}
 }
 
 // step hands one event over and keeps the timers and counter calls that come of it.
-func (r *rig) step(ev policy.Event) []policy.Action {
-	out := r.g.Step(r.now, ev, nil)
+func (h *harness) step(ev policy.Event) []policy.Action {
+	out := h.gateway.Step(h.now, ev, nil)
 	for _, a := range out {
 		switch a := a.(type) {
 		case policy.StartTimer:
-			r.timers = append(r.timers, timer{at: r.now + a.After, id: a.TimerID})
+			h.timers = append(h.timers, timer{at: h.now + a.After, id: a.TimerID})
 		case policy.AddToCounter:
-			r.counts = append(r.counts, a)
+			h.counterCalls = append(h.counterCalls, a)
 		}
 	}
 	return out
 }
 
-// run lets time pass, firing timers; reply answers counter calls, nil leaves them unanswered.
-func (r *rig) run(d time.Duration, reply func(policy.AddToCounter) policy.CounterReplied) (out []policy.Action) {
-	for end := r.now + d; ; {
-		for len(r.counts) > 0 && reply != nil {
-			call := r.counts[0]
-			r.counts = r.counts[1:]
-			out = append(out, r.step(reply(call))...)
+// advance lets time pass, firing timers; reply answers counter calls, nil leaves them unanswered.
+func (h *harness) advance(d time.Duration, reply func(policy.AddToCounter) policy.CounterReplied) (out []policy.Action) {
+	for end := h.now + d; ; {
+		for len(h.counterCalls) > 0 && reply != nil {
+			call := h.counterCalls[0]
+			h.counterCalls = h.counterCalls[1:]
+			out = append(out, h.step(reply(call))...)
 		}
-		due, ok := r.nextTimer(end)
+		due, ok := h.nextTimer(end)
 		if !ok {
-			r.now = end
+			h.now = end
 			return out
 		}
-		r.now = max(r.now, due.at)
-		out = append(out, r.step(policy.TimerFired{TimerID: due.id})...)
+		h.now = max(h.now, due.at)
+		out = append(out, h.step(policy.TimerFired{TimerID: due.id})...)
 	}
 }
 
 // nextTimer removes and returns the timer that fires first, if that is by end.
-func (r *rig) nextTimer(end time.Duration) (due timer, ok bool) {
+func (h *harness) nextTimer(end time.Duration) (due timer, ok bool) {
 	next := -1
-	for i, candidate := range r.timers {
-		if candidate.at <= end && (next < 0 || candidate.at < r.timers[next].at) {
+	for i, candidate := range h.timers {
+		if candidate.at <= end && (next < 0 || candidate.at < h.timers[next].at) {
 			next = i
 		}
 	}
 	if next < 0 {
 		return timer{}, false
 	}
-	due = r.timers[next]
-	r.timers = append(r.timers[:next], r.timers[next+1:]...)
+	due = h.timers[next]
+	h.timers = append(h.timers[:next], h.timers[next+1:]...)
 	return due, true
 }
 
-// arrive hands over a request and returns its id with the actions.
-func (r *rig) arrive(class, plan int, tenant uint64, units float64) (string, []policy.Action) {
-	return r.receive(policy.RequestReceived{Class: class, Plan: plan, Tenant: tenant,
+// receive hands over a request and returns its id with the actions.
+func (h *harness) receive(class, plan int, tenant uint64, units float64) (string, []policy.Action) {
+	return h.receiveEvent(policy.RequestReceived{Class: class, Plan: plan, Tenant: tenant,
 		Timeout: 2 * time.Second, Units: units, TenantGateways: 3})
 }
 
-// receive hands over a request, which it gives a new id, and returns that with the actions.
-func (r *rig) receive(ev policy.RequestReceived) (string, []policy.Action) {
-	r.serial++
-	ev.RequestID = fmt.Sprintf("%016x", r.serial)
-	return ev.RequestID, r.step(ev)
+// receiveEvent hands over a request, which it gives a new id, and returns that with the actions.
+func (h *harness) receiveEvent(ev policy.RequestReceived) (string, []policy.Action) {
+	h.requests++
+	ev.RequestID = fmt.Sprintf("%016x", h.requests)
+	return ev.RequestID, h.step(ev)
 }
 
-// sent returns the attempts that actions start.
-func sent(as []policy.Action) (s []policy.StartAttempt) {
-	for _, a := range as {
+// startedAttempts returns the attempts that actions start.
+func startedAttempts(actions []policy.Action) (s []policy.StartAttempt) {
+	for _, a := range actions {
 		if a, ok := a.(policy.StartAttempt); ok {
 			s = append(s, a)
 		}
@@ -150,9 +150,9 @@
 	return s
 }
 
-// has reports whether there is an action of some type.
-func has[T policy.Action](as []policy.Action) bool {
-	for _, a := range as {
+// hasAction reports whether there is an action of some type.
+func hasAction[T policy.Action](actions []policy.Action) bool {
+	for _, a := range actions {
 		if _, ok := a.(T); ok {
 			return true
 		}
@@ -160,33 +160,33 @@
 	return false
 }
 
-// pass ends an attempt with success, 20 ms after its start by what it says.
-func (r *rig) pass(id string, s policy.StartAttempt) {
-	r.step(policy.AttemptEnded{RequestID: id, Endpoint: s.Endpoint, Outcome: policy.Succeeded, Latency: 20 * ms, RequestDone: true})
+// succeed ends an attempt with success, 20 ms after its start by what it says.
+func (h *harness) succeed(id string, s policy.StartAttempt) {
+	h.step(policy.AttemptEnded{RequestID: id, Endpoint: s.Endpoint, Outcome: policy.Succeeded, Latency: 20 * ms, RequestDone: true})
 }
 
-// passAll ends attempts with success and returns how many they were.
-func (r *rig) passAll(attempts []policy.StartAttempt) int {
+// succeedAll ends attempts with success and returns how many they were.
+func (h *harness) succeedAll(attempts []policy.StartAttempt) int {
 	for _, attempt := range attempts {
-		r.pass(attempt.RequestID, attempt)
+		h.succeed(attempt.RequestID, attempt)
 	}
 	return len(attempts)
 }
 
-// admitted hands over n requests of one unit and returns how many are admitted.
-func (r *rig) admitted(n int, plan int, tenant uint64) (k int) {
+// countAdmitted hands over n requests of one unit and returns how many are countAdmitted.
+func (h *harness) countAdmitted(n int, plan int, tenant uint64) (k int) {
 	for range n {
-		id, as := r.arrive(0, plan, tenant, 1)
-		if s := sent(as); len(s) == 1 {
+		id, actions := h.receive(0, plan, tenant, 1)
+		if s := startedAttempts(actions); len(s) == 1 {
 			k++
-			r.pass(id, s[0])
+			h.succeed(id, s[0])
 		}
 	}
 	return k
 }
 
-// totals answers reads with a fixed total and adds with what was added.
-func totals(total float64) func(policy.AddToCounter) policy.CounterReplied {
+// replyWithTotal answers reads with a fixed total and adds with what was added.
+func replyWithTotal(total float64) func(policy.AddToCounter) policy.CounterReplied {
 	return func(c policy.AddToCounter) policy.CounterReplied {
 		if c.Units == 0 {
 			return policy.CounterReplied{Key: c.Key, Total: total}
@@ -195,17 +195,17 @@
 	}
 }
 
-// failing answers counter calls with an outcome and no total.
-func failing(outcome policy.Outcome) func(policy.AddToCounter) policy.CounterReplied {
+// replyWithOutcome answers counter calls with an outcome and no total.
+func replyWithOutcome(outcome policy.Outcome) func(policy.AddToCounter) policy.CounterReplied {
 	return func(c policy.AddToCounter) policy.CounterReplied {
 		return policy.CounterReplied{Key: c.Key, Outcome: outcome}
 	}
 }
 
-// numbers is a counter service that forgets nothing.
-type numbers map[uint64]float64
+// fakeCounter is a counter service that forgets nothing.
+type fakeCounter map[uint64]float64
 
-func (n numbers) add(c policy.AddToCounter) policy.CounterReplied {
+func (n fakeCounter) add(c policy.AddToCounter) policy.CounterReplied {
 	n[c.Key] += c.Units
 	return policy.CounterReplied{Key: c.Key, Total: n[c.Key]}
 }
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -8,29 +8,29 @@
 )
 
 // timeOut lets an attempt's timeout pass and ends it without an answer.
-func (r *rig) timeOut(id string, number int, attempt policy.StartAttempt) {
-	r.run(attempt.Timeout, totals(0))
-	r.step(policy.AttemptEnded{RequestID: id, Attempt: number, Endpoint: attempt.Endpoint,
+func (h *harness) timeOut(id string, number int, attempt policy.StartAttempt) {
+	h.advance(attempt.Timeout, replyWithTotal(0))
+	h.step(policy.AttemptEnded{RequestID: id, Attempt: number, Endpoint: attempt.Endpoint,
 		Outcome: policy.TimedOut, Latency: attempt.Timeout})
 }
 
 func TestHangingEndpointIsEjected(t *testing.T) {
 	set := settings()
 	set.AllowHedging = false
-	r := newRig(t, set, 4)
+	h := newHarness(t, set, 4)
 	late := 0
 	for i := range 400 {
-		r.run(20*ms, totals(0))
-		id, actions := r.arrive(0, 1, 1, 1)
-		for _, attempt := range sent(actions) {
+		h.advance(20*ms, replyWithTotal(0))
+		id, actions := h.receive(0, 1, 1, 1)
+		for _, attempt := range startedAttempts(actions) {
 			if attempt.Endpoint != "s1" {
-				r.pass(id, attempt)
+				h.succeed(id, attempt)
 				continue
 			}
 			if i > 100 {
 				late++
 			}
-			r.timeOut(id, 0, attempt)
+			h.timeOut(id, 0, attempt)
 		}
 	}
 	if late > 15 {
@@ -41,21 +41,21 @@
 func TestReadmittedEndpointsAreNotThrottledToNothing(t *testing.T) {
 	// Found on a deployment: after all endpoints had been ejected and had come back, a gateway that
 	// had forwarded nothing meanwhile allowed itself nothing.
-	r := newRig(t, settings(), 3)
+	h := newHarness(t, settings(), 3)
 	for range 60 { // nobody answers
-		r.run(50*ms, totals(0))
-		id, actions := r.arrive(0, 1, 1, 1)
-		for number, attempt := range sent(actions) {
-			r.timeOut(id, number, attempt)
+		h.advance(50*ms, replyWithTotal(0))
+		id, actions := h.receive(0, 1, 1, 1)
+		for number, attempt := range startedAttempts(actions) {
+			h.timeOut(id, number, attempt)
 		}
 	}
-	r.run(20*time.Second, totals(0))
+	h.advance(20*time.Second, replyWithTotal(0))
 	forwarded := 0
 	for range 100 {
-		r.run(50*ms, totals(0))
-		id, actions := r.arrive(0, 1, 2, 1)
-		for _, attempt := range sent(actions) {
-			r.pass(id, attempt)
+		h.advance(50*ms, replyWithTotal(0))
+		id, actions := h.receive(0, 1, 2, 1)
+		for _, attempt := range startedAttempts(actions) {
+			h.succeed(id, attempt)
 			forwarded++
 		}
 	}
@@ -65,16 +65,16 @@
 }
 
 func TestAllHangingEndpointsAreNotAllEjected(t *testing.T) {
-	r := newRig(t, settings(), 3)
+	h := newHarness(t, settings(), 3)
 	attempts := 0
 	for i := range 200 {
-		r.run(50*ms, totals(0))
-		id, actions := r.arrive(0, 1, 1, 1)
-		for number, attempt := range sent(actions) {
+		h.advance(50*ms, replyWithTotal(0))
+		id, actions := h.receive(0, 1, 1, 1)
+		for number, attempt := range startedAttempts(actions) {
 			if i > 100 {
 				attempts++
 			}
-			r.timeOut(id, number, attempt)
+			h.timeOut(id, number, attempt)
 		}
 	}
 	if attempts == 0 {
@@ -85,26 +85,26 @@
 func TestEjectedEndpointsAreHealthCheckedFirstWhereAllowed(t *testing.T) {
 	set := settings()
 	set.AllowHedging, set.AllowHealthChecks = false, true
-	r := newRig(t, set, 4)
+	h := newHarness(t, set, 4)
 	healthChecks, attemptsAfter := 0, 0
 	for range 300 {
-		r.run(20*ms, totals(0))
-		id, actions := r.arrive(0, 1, 1, 1)
+		h.advance(20*ms, replyWithTotal(0))
+		id, actions := h.receive(0, 1, 1, 1)
 		for _, action := range actions {
 			if check, ok := action.(policy.CheckHealth); ok {
 				healthChecks++
-				r.step(policy.HealthCheckDone{Endpoint: check.Endpoint, Outcome: policy.TimedOut})
+				h.step(policy.HealthCheckDone{Endpoint: check.Endpoint, Outcome: policy.TimedOut})
 			}
 		}
-		for _, attempt := range sent(actions) {
+		for _, attempt := range startedAttempts(actions) {
 			if attempt.Endpoint != "s1" {
-				r.pass(id, attempt)
+				h.succeed(id, attempt)
 				continue
 			}
 			if healthChecks > 0 {
 				attemptsAfter++
 			}
-			r.timeOut(id, 0, attempt)
+			h.timeOut(id, 0, attempt)
 		}
 	}
 	if healthChecks == 0 || attemptsAfter > 0 {
@@ -115,20 +115,20 @@
 func TestFastFailingEndpointIsEjected(t *testing.T) {
 	set := settings()
 	set.AllowHedging = false
-	r := newRig(t, set, 4)
+	h := newHarness(t, set, 4)
 	late := 0
 	for i := range 400 {
-		r.run(20*ms, totals(0))
-		id, actions := r.arrive(2, 1, 1, 1)
-		for _, attempt := range sent(actions) {
+		h.advance(20*ms, replyWithTotal(0))
+		id, actions := h.receive(2, 1, 1, 1)
+		for _, attempt := range startedAttempts(actions) {
 			if attempt.Endpoint != "s1" {
-				r.pass(id, attempt)
+				h.succeed(id, attempt)
 				continue
 			}
 			if i > 100 {
 				late++
 			}
-			r.step(policy.AttemptEnded{RequestID: id, Endpoint: attempt.Endpoint, Outcome: policy.ServerError, Latency: ms})
+			h.step(policy.AttemptEnded{RequestID: id, Endpoint: attempt.Endpoint, Outcome: policy.ServerError, Latency: ms})
 		}
 	}
 	if late > 3 {
--- a/internal/policy/quota_test.go
+++ b/internal/policy/quota_test.go
@@ -9,16 +9,16 @@
 
 func TestInitialAllocationIsAnEvenShare(t *testing.T) {
 	// Burst 8 over 3 gateways: 2.67 units, two requests of one unit.
-	if k := newRig(t, settings(), 6).admitted(8, 0, 1); k < 2 || k > 4 {
+	if k := newHarness(t, settings(), 6).countAdmitted(8, 0, 1); k < 2 || k > 4 {
 		t.Errorf("a new tenant got %d units at once of a burst of 8 shared by 3", k)
 	}
 }
 
-// steady offers 5 units an interval of 2 s and returns the units admitted over the last 20 s.
-func steady(r *rig, reply func(policy.AddToCounter) policy.CounterReplied) (k int) {
+// admittedAtSteadyDemand offers 5 units an interval of 2 s and returns the units admitted over the last 20 s.
+func admittedAtSteadyDemand(h *harness, reply func(policy.AddToCounter) policy.CounterReplied) (k int) {
 	for i := range 100 {
-		r.run(400*ms, reply)
-		if n := r.admitted(1, 0, 1); i >= 50 {
+		h.advance(400*ms, reply)
+		if n := h.countAdmitted(1, 0, 1); i >= 50 {
 			k += n
 		}
 	}
@@ -27,40 +27,40 @@
 
 func TestAllocationFollowsTheDemandShareOverQuota(t *testing.T) {
 	// The quota of an interval is 4·2 = 8. Local demand 5 of fleet demand 10: 5/10·8 = 4 an interval, 40 in 20 s.
-	if k := steady(newRig(t, settings(), 6), totals(10)); k < 37 || k > 43 {
+	if k := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(10)); k < 37 || k > 43 {
 		t.Errorf("half of the demand got %d of 80 units, want about 40", k)
 	}
 	// 5 of 20 falls to 5/20·8 = 2, above the floor of 0.7·8/3 = 1.87: 20 in 20 s.
-	if k := steady(newRig(t, settings(), 6), totals(20)); k < 17 || k > 23 {
+	if k := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(20)); k < 17 || k > 23 {
 		t.Errorf("a quarter of the demand got %d of 80 units, want about 20", k)
 	}
 }
 
 func TestWithinQuotaTheLastDemandIsAdmitted(t *testing.T) {
-	if k := steady(newRig(t, settings(), 6), totals(6)); k < 49 {
+	if k := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(6)); k < 49 {
 		t.Errorf("below the quota %d of 50 units were admitted", k)
 	}
 }
 
-func TestMuteOrEmptiedCounterKeepsTheAllocation(t *testing.T) {
+func TestUnresponsiveOrResetCounterKeepsTheAllocation(t *testing.T) {
 	for name, reply := range map[string]func(policy.AddToCounter) policy.CounterReplied{
-		"mute":    failing(policy.TimedOut),
-		"emptied": totals(0),
+		"mute":    replyWithOutcome(policy.TimedOut),
+		"emptied": replyWithTotal(0),
 	} {
-		r := newRig(t, settings(), 6)
-		steady(r, totals(20))
-		if k := steady(r, reply); k > 24 {
+		h := newHarness(t, settings(), 6)
+		admittedAtSteadyDemand(h, replyWithTotal(20))
+		if k := admittedAtSteadyDemand(h, reply); k > 24 {
 			t.Errorf("%s: %d of 80 units admitted, the last allocation was 20", name, k)
 		}
 	}
 }
 
 func TestFailedAddIsMadeUpByTheRead(t *testing.T) {
-	r := newRig(t, settings(), 6)
-	r.admitted(2, 0, 1)
+	h := newHarness(t, settings(), 6)
+	h.countAdmitted(2, 0, 1)
 	var calls []policy.AddToCounter
-	overloaded := failing(policy.Overloaded)
-	r.run(2500*ms, func(c policy.AddToCounter) policy.CounterReplied {
+	overloaded := replyWithOutcome(policy.Overloaded)
+	h.advance(2500*ms, func(c policy.AddToCounter) policy.CounterReplied {
 		calls = append(calls, c)
 		return overloaded(c)
 	})
@@ -72,16 +72,16 @@
 func TestHardLimitAlsoAfterRestart(t *testing.T) {
 	// Whatever earlier incarnations spent, each new one starts with nothing of the hard limit: it finds their
 	// record at the counter, and where the counter is mute it takes the record to be there.
-	units, counter := 0, numbers{}
+	units, counter := 0, fakeCounter{}
 	for incarnation := range 5 {
 		reply := counter.add
 		if incarnation == 3 {
-			reply = failing(policy.Overloaded)
+			reply = replyWithOutcome(policy.Overloaded)
 		}
-		r := rigAt(t, time.Duration(1000+2*incarnation)*time.Second, settings(), 6)
+		h := newHarnessAt(t, time.Duration(1000+2*incarnation)*time.Second, settings(), 6)
 		for range 20 {
-			units += r.admitted(2, 2, 9)
-			r.run(100*ms, reply)
+			units += h.countAdmitted(2, 2, 9)
+			h.advance(100*ms, reply)
 		}
 	}
 	// One of three gateways, 10 s: a third of burst and tolerance, and of the rate.
@@ -95,28 +95,28 @@
 
 func TestFirstIncarnationHasItsShareOfTheHardLimit(t *testing.T) {
 	// With no record of an earlier incarnation the share is there at once, not only after its refill.
-	r, counter := newRig(t, settings(), 6), numbers{}
-	r.admitted(1, 2, 9)
-	r.run(50*ms, counter.add)
-	if units := r.admitted(20, 2, 9); units < 4 {
+	h, counter := newHarness(t, settings(), 6), fakeCounter{}
+	h.countAdmitted(1, 2, 9)
+	h.advance(50*ms, counter.add)
+	if units := h.countAdmitted(20, 2, 9); units < 4 {
 		t.Errorf("%d units admitted, the share holds 4.9 of burst and tolerance", units)
 	}
 	// The record goes on through changes of its key: an incarnation that follows a long one finds it.
-	r.run(65*time.Second, counter.add)
-	r = rigAt(t, r.now+time.Second, settings(), 6)
-	units := r.admitted(1, 2, 9)
-	r.run(50*ms, counter.add)
-	if units += r.admitted(20, 2, 9); units > 1 {
+	h.advance(65*time.Second, counter.add)
+	h = newHarnessAt(t, h.now+time.Second, settings(), 6)
+	units := h.countAdmitted(1, 2, 9)
+	h.advance(50*ms, counter.add)
+	if units += h.countAdmitted(20, 2, 9); units > 1 {
 		t.Errorf("%d units admitted at once after a restart", units)
 	}
 }
 
-func TestRetriesLeaveTheTokensToFirstTries(t *testing.T) {
+func TestRetriesLeaveTheTokensToFirstAttempts(t *testing.T) {
 	// Found on quiet days: late retries used up what first tries then lacked.
-	r := newRig(t, settings(), 6)
+	h := newHarness(t, settings(), 6)
 	retryAdmitted := func() bool {
-		_, as := r.receive(policy.RequestReceived{Tenant: 1, Timeout: time.Second, Units: 1, TenantGateways: 3, IsRetry: true})
-		return r.passAll(sent(as)) > 0
+		_, actions := h.receiveEvent(policy.RequestReceived{Tenant: 1, Timeout: time.Second, Units: 1, TenantGateways: 3, IsRetry: true})
+		return h.succeedAll(startedAttempts(actions)) > 0
 	}
 	if !retryAdmitted() {
 		t.Error("a retry was rejected by a full token bucket")
@@ -124,7 +124,7 @@
 	if retryAdmitted() {
 		t.Error("a retry was admitted by a token bucket that is partly used")
 	}
-	if r.admitted(1, 0, 1) != 1 {
+	if h.countAdmitted(1, 0, 1) != 1 {
 		t.Error("a first try was rejected by the same token bucket")
 	}
 }
@@ -132,13 +132,13 @@
 func TestFailingCounterIsCalledLess(t *testing.T) {
 	// Found in incidents i8728b4 and if8a11d: a counter that is outgrown fails all calls.
 	calls := func(o policy.Outcome) (k int) {
-		r := newRig(t, settings(), 6)
+		h := newHarness(t, settings(), 6)
 		for range 100 {
-			r.run(400*ms, func(c policy.AddToCounter) policy.CounterReplied {
+			h.advance(400*ms, func(c policy.AddToCounter) policy.CounterReplied {
 				k++
 				return policy.CounterReplied{Key: c.Key, Outcome: o, Total: 3}
 			})
-			r.admitted(1, 0, 1)
+			h.countAdmitted(1, 0, 1)
 		}
 		return k
 	}
@@ -150,14 +150,14 @@
 
 func TestLimitOnConcurrentAttempts(t *testing.T) {
 	// 3 concurrent attempts over 3 gateways: one in flight here.
-	r := newRig(t, settings(), 6)
-	id, as := r.arrive(0, 3, 5, 1)
-	first := sent(as)
-	if _, as := r.arrive(0, 3, 5, 1); len(first) != 1 || !has[policy.Reject](as) {
+	h := newHarness(t, settings(), 6)
+	id, actions := h.receive(0, 3, 5, 1)
+	first := startedAttempts(actions)
+	if _, actions := h.receive(0, 3, 5, 1); len(first) != 1 || !hasAction[policy.Reject](actions) {
 		t.Fatal("want one attempt in flight and the next request rejected")
 	}
-	r.pass(id, first[0])
-	if _, as := r.arrive(0, 3, 5, 1); len(sent(as)) != 1 {
+	h.succeed(id, first[0])
+	if _, actions := h.receive(0, 3, 5, 1); len(startedAttempts(actions)) != 1 {
 		t.Error("rejected though nothing is in flight")
 	}
 }
@@ -167,11 +167,11 @@
 	for units, want := range map[float64]int{1: 1, 3: 0} {
 		set := settings()
 		set.ActualUnitsReported = true
-		r := newRig(t, set, 6)
-		id, as := r.arrive(0, 0, 1, 1)
-		r.step(policy.AttemptEnded{RequestID: id, Endpoint: sent(as)[0].Endpoint, Outcome: policy.Succeeded, Latency: 20 * ms, RequestDone: true,
+		h := newHarness(t, set, 6)
+		id, actions := h.receive(0, 0, 1, 1)
+		h.step(policy.AttemptEnded{RequestID: id, Endpoint: startedAttempts(actions)[0].Endpoint, Outcome: policy.Succeeded, Latency: 20 * ms, RequestDone: true,
 			ActualUnits: units})
-		if k := r.admitted(1, 0, 1); k != want {
+		if k := h.countAdmitted(1, 0, 1); k != want {
 			t.Errorf("after %v actual units %d requests admitted, want %d", units, k, want)
 		}
 	}
@@ -179,8 +179,8 @@
 
 func TestSlowCounterStillGivesTheAllocation(t *testing.T) {
 	// The adds are answered too late, yet they arrived, and the reads tell the total.
-	r := newRig(t, settings(), 6)
-	k := steady(r, func(c policy.AddToCounter) policy.CounterReplied {
+	h := newHarness(t, settings(), 6)
+	k := admittedAtSteadyDemand(h, func(c policy.AddToCounter) policy.CounterReplied {
 		if c.Units > 0 {
 			return policy.CounterReplied{Key: c.Key, Outcome: policy.TimedOut}
 		}
@@ -194,14 +194,14 @@
 func TestWithoutCounterTheSplitIsEven(t *testing.T) {
 	set := settings()
 	set.CounterEnabled = false
-	r := newRig(t, set, 6)
+	h := newHarness(t, set, 6)
 	k := 0
 	for range 200 { // 20 s: a third of 4 units a second, and of the burst
-		r.run(100*ms, nil)
-		k += r.admitted(1, 0, 1)
+		h.advance(100*ms, nil)
+		k += h.countAdmitted(1, 0, 1)
 	}
-	if len(r.counts) > 0 || k < 25 || k > 31 {
-		t.Errorf("%d units admitted with %d calls, want about 29 and none", k, len(r.counts))
+	if len(h.counterCalls) > 0 || k < 25 || k > 31 {
+		t.Errorf("%d units admitted with %d calls, want about 29 and none", k, len(h.counterCalls))
 	}
 }
 
@@ -220,14 +220,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			set := settings()
 			set.Plans[0] = policy.Plan{Rate: 10, Burst: 20, PriorityWeight: 1}
-			r, counter := newRig(t, set, 6), numbers{}
+			h, counter := newHarness(t, set, 6), fakeCounter{}
 			for range 40 { // well under the quota, by the totals as well
-				r.admitted(1, 0, 9)
-				r.run(500*ms, counter.add)
+				h.countAdmitted(1, 0, 9)
+				h.advance(500*ms, counter.add)
 			}
-			call := callForSpareQuota(t, r)
-			as := r.step(policy.CounterReplied{Key: call.Key, Outcome: test.reply, Total: counter.add(call).Total + test.others})
-			if got := len(sent(as)) > 0; got != test.want {
+			call := callForSpareQuota(t, h)
+			actions := h.step(policy.CounterReplied{Key: call.Key, Outcome: test.reply, Total: counter.add(call).Total + test.others})
+			if got := len(startedAttempts(actions)) > 0; got != test.want {
 				t.Errorf("admitted %v, want %v", got, test.want)
 			}
 		})
@@ -235,16 +235,16 @@
 }
 
 // callForSpareQuota hands over requests until one is held for a counter call, which it returns.
-func callForSpareQuota(t *testing.T, r *rig) policy.AddToCounter {
+func callForSpareQuota(t *testing.T, h *harness) policy.AddToCounter {
 	t.Helper()
 	for i := 0; ; i++ {
-		_, as := r.arrive(0, 0, 9, 1)
-		if r.passAll(sent(as)) > 0 && i < 40 {
+		_, actions := h.receive(0, 0, 9, 1)
+		if h.succeedAll(startedAttempts(actions)) > 0 && i < 40 {
 			continue
 		}
-		if has[policy.Reject](as) || !has[policy.AddToCounter](as) {
-			t.Fatalf("request %d: no call before a rejection: %v", i, as)
+		if hasAction[policy.Reject](actions) || !hasAction[policy.AddToCounter](actions) {
+			t.Fatalf("request %d: no call before a rejection: %v", i, actions)
 		}
-		return r.counts[len(r.counts)-1]
+		return h.counterCalls[len(h.counterCalls)-1]
 	}
 }
--- a/internal/policy/sequences_test.go
+++ b/internal/policy/sequences_test.go
@@ -50,7 +50,7 @@
 	t        *testing.T
 	seed     uint64
 	set      policy.Settings
-	rig      *rig
+	harness      *harness
 	requests map[string]*oracleRequest
 	order    []string // ids in the order of arrival
 	zones    map[string]int
@@ -64,15 +64,15 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := settings()
 	set.AllowCancel, set.AllowHedging = seed%2 == 0, seed%3 != 0
-	o := &oracle{t: t, seed: seed, set: set, rig: newRig(t, set, 5),
+	o := &oracle{t: t, seed: seed, set: set, harness: newHarness(t, set, 5),
 		requests: map[string]*oracleRequest{}, zones: map[string]int{}}
 	for i := range 5 {
-		o.zones[server(i).ID] = server(i).Zone
+		o.zones[testEndpoint(i).ID] = testEndpoint(i).Zone
 	}
 	for i := range 1500 {
-		o.check(o.rig.run(time.Duration(rng.IntN(30))*ms, totals(float64(rng.IntN(20)))))
+		o.check(o.harness.advance(time.Duration(rng.IntN(30))*ms, replyWithTotal(float64(rng.IntN(20)))))
 		if i == 700 {
-			o.drain(server(3))
+			o.drain(testEndpoint(3))
 		}
 		o.receiveRequest(rng)
 		o.endAttempts(rng)
@@ -85,19 +85,19 @@
 func (o *oracle) drain(endpoint policy.Endpoint) {
 	endpoint.State = policy.Draining
 	o.draining = endpoint.ID
-	o.check(o.rig.step(policy.EndpointsUpdated{Scope: policy.IncrementalUpdate, Endpoints: []policy.Endpoint{endpoint}}))
+	o.check(o.harness.step(policy.EndpointsUpdated{Scope: policy.IncrementalUpdate, Endpoints: []policy.Endpoint{endpoint}}))
 }
 
 // receiveRequest hands over a request of a random class, plan and tenant.
 func (o *oracle) receiveRequest(rng *rand.Rand) {
-	r := o.rig
-	r.serial++
-	id := fmt.Sprintf("%016x", r.serial)
+	h := o.harness
+	h.requests++
+	id := fmt.Sprintf("%016x", h.requests)
 	timeout := time.Duration(500+rng.IntN(1500)) * ms
-	request := &oracleRequest{class: rng.IntN(4), deadline: r.now + timeout}
+	request := &oracleRequest{class: rng.IntN(4), deadline: h.now + timeout}
 	o.requests[id] = request
 	o.order = append(o.order, id)
-	o.check(r.step(policy.RequestReceived{RequestID: id, Class: request.class, Plan: rng.IntN(4), Tenant: uint64(rng.IntN(6)),
+	o.check(h.step(policy.RequestReceived{RequestID: id, Class: request.class, Plan: rng.IntN(4), Tenant: uint64(rng.IntN(6)),
 		Timeout: timeout, Units: float64(1 + rng.IntN(3)), TenantGateways: 3}))
 }
 
@@ -107,7 +107,7 @@
 		request := o.requests[id]
 		for n := 0; n < len(request.attempts); n++ { // the outcome of one may start another
 			attempt := request.attempts[n]
-			expired := o.rig.now >= attempt.expiresAt
+			expired := o.harness.now >= attempt.expiresAt
 			if attempt.execution != attemptInFlight || !expired && rng.IntN(8) > 0 {
 				continue
 			}
@@ -130,8 +130,8 @@
 	if outcome == policy.Succeeded {
 		request.answered = true
 	}
-	o.check(o.rig.step(policy.AttemptEnded{RequestID: id, Attempt: n, Endpoint: attempt.endpoint, Outcome: outcome,
-		Latency: o.rig.now - attempt.startedAt, RequestDone: request.answered}))
+	o.check(o.harness.step(policy.AttemptEnded{RequestID: id, Attempt: n, Endpoint: attempt.endpoint, Outcome: outcome,
+		Latency: o.harness.now - attempt.startedAt, RequestDone: request.answered}))
 }
 
 // check holds the actions of one step against the rules and follows them.
@@ -172,10 +172,10 @@
 	}
 	expiresAt := request.deadline
 	if start.Timeout > 0 {
-		expiresAt = min(expiresAt, o.rig.now+start.Timeout)
+		expiresAt = min(expiresAt, o.harness.now+start.Timeout)
 	}
 	request.attempts = append(request.attempts,
-		&oracleAttempt{endpoint: start.Endpoint, startedAt: o.rig.now, expiresAt: expiresAt})
+		&oracleAttempt{endpoint: start.Endpoint, startedAt: o.harness.now, expiresAt: expiresAt})
 }
 
 // mayRunTwice reports whether an attempt at an endpoint could run a request a second time that must run once.
@@ -184,7 +184,7 @@
 	if earlier.execution == attemptNeverRan || class.Idempotency == policy.Idempotent {
 		return false
 	}
-	return class.Idempotency == policy.NonIdempotent || o.rig.now > earlier.startedAt+class.DedupWindow ||
+	return class.Idempotency == policy.NonIdempotent || o.harness.now > earlier.startedAt+class.DedupWindow ||
 		class.DedupScope == policy.DedupZone && o.zones[earlier.endpoint] != o.zones[endpoint]
 }
 
@@ -214,7 +214,7 @@
 func (o *oracle) checkAllAnswered() {
 	o.t.Helper()
 	for _, id := range o.order {
-		if request := o.requests[id]; !request.answered && o.rig.now > request.deadline+50*ms {
+		if request := o.requests[id]; !request.answered && o.harness.now > request.deadline+50*ms {
 			o.t.Fatalf("seed %d: %s got no answer", o.seed, id)
 		}
 	}
--- a/internal/policy/sharedbucket_test.go
+++ b/internal/policy/sharedbucket_test.go
@@ -20,18 +20,18 @@
 	decide := func(total float64, timeout time.Duration) (asked, admitted int) {
 		set := settings()
 		set.Plans[0].OverQuotaCost, set.CounterTimeout = 1, 400*ms
-		r := newRig(t, set, 6)
+		h := newHarness(t, set, 6)
 		for i := range 40 {
-			_, as := r.receive(sharedBucketRequest(uint64(i), timeout))
-			if has[policy.AddToCounter](as) {
+			_, actions := h.receiveEvent(sharedBucketRequest(uint64(i), timeout))
+			if hasAction[policy.AddToCounter](actions) {
 				asked++
-				if len(sent(as)) > 0 && timeout > time.Second {
+				if len(startedAttempts(actions)) > 0 && timeout > time.Second {
 					t.Error("forwarded before the total was read")
 				}
-				c := r.counts[len(r.counts)-1]
-				as = append(as, r.step(policy.CounterReplied{Key: c.Key, Total: total * c.Units})...)
+				c := h.counterCalls[len(h.counterCalls)-1]
+				actions = append(actions, h.step(policy.CounterReplied{Key: c.Key, Total: total * c.Units})...)
 			}
-			admitted += r.passAll(sent(as))
+			admitted += h.succeedAll(startedAttempts(actions))
 		}
 		return asked, admitted
 	}
@@ -49,20 +49,20 @@
 func TestLateRepliesOfTheCounterHoldNoRequest(t *testing.T) {
 	// The caller may wait for the counter for longer than CounterTimeout; a request is held no longer than that, and
 	// a total that comes later decides it no more.
-	r := newRig(t, settings(), 6)
+	h := newHarness(t, settings(), 6)
 	held := 0
 	for i := range 40 {
-		_, as := r.receive(sharedBucketRequest(uint64(i), 2*time.Second))
-		if len(sent(as)) > 0 || has[policy.Reject](as) {
+		_, actions := h.receiveEvent(sharedBucketRequest(uint64(i), 2*time.Second))
+		if len(startedAttempts(actions)) > 0 || hasAction[policy.Reject](actions) {
 			continue
 		}
 		held++
-		c := r.counts[len(r.counts)-1]
-		as = r.run(30*ms, nil)
-		if len(sent(as)) == 0 && !has[policy.Reject](as) {
+		c := h.counterCalls[len(h.counterCalls)-1]
+		actions = h.advance(30*ms, nil)
+		if len(startedAttempts(actions)) == 0 && !hasAction[policy.Reject](actions) {
 			t.Fatal("a request is still held after CounterTimeout")
 		}
-		if as = r.step(policy.CounterReplied{Key: c.Key, Total: 1}); len(sent(as)) > 0 || has[policy.Reject](as) {
+		if actions = h.step(policy.CounterReplied{Key: c.Key, Total: 1}); len(startedAttempts(actions)) > 0 || hasAction[policy.Reject](actions) {
 			t.Fatal("a request is decided twice")
 		}
 	}
@@ -73,30 +73,30 @@
 
 func TestNoRequestIsHeldAfterAStall(t *testing.T) {
 	// Found on milano big-2: the backlog of a gateway that had stalled was held past the clients' deadlines.
-	r := newRig(t, settings(), 6)
-	r.run(time.Second, totals(0))
-	r.now += 2 * time.Second // events come late
+	h := newHarness(t, settings(), 6)
+	h.advance(time.Second, replyWithTotal(0))
+	h.now += 2 * time.Second // events come late
 	for i := range 20 {
-		_, as := r.receive(sharedBucketRequest(uint64(i), time.Second))
-		if len(sent(as)) == 0 && !has[policy.Reject](as) {
+		_, actions := h.receiveEvent(sharedBucketRequest(uint64(i), time.Second))
+		if len(startedAttempts(actions)) == 0 && !hasAction[policy.Reject](actions) {
 			t.Fatal("a request is held by a gateway that stalls now and then")
 		}
 	}
 }
 
-// fleet offers a tenant's requests of one unit, at times the quota of 4 a second, through a number of gateways for
+// admittedByFleet offers a tenant's requests of one unit, at times the quota of 4 a second, through a number of gateways for
 // 40 s before a shared counter, which rejects a part of their calls, and returns the units admitted.
-func fleet(t *testing.T, gateways int, times float64, rejected float64) (k float64) {
+func admittedByFleet(t *testing.T, gateways int, times float64, rejected float64) (k float64) {
 	t.Helper()
 	set := settings()
 	set.Gateways, set.Plans[0].OverQuotaCost = gateways, 1
 	rng := rand.New(rand.NewPCG(3, uint64(gateways)))
-	var rigs []*rig
+	var rigs []*harness
 	for i := range gateways {
 		set.GatewayIndex, set.Seed = i, uint64(i)
-		rigs = append(rigs, newRig(t, set, 6))
+		rigs = append(rigs, newHarness(t, set, 6))
 	}
-	counter, now := numbers{}, 1000*time.Second
+	counter, now := fakeCounter{}, 1000*time.Second
 	reply := func(c policy.AddToCounter) policy.CounterReplied {
 		if rng.Float64() < rejected {
 			return policy.CounterReplied{Key: c.Key, Outcome: policy.Overloaded}
@@ -107,15 +107,15 @@
 		at := 1000*time.Second + time.Duration(float64(i)/(4*times)*1e9)
 		for now < at { // in steps shorter than CounterTimeout, so that adds come before reads
 			now = min(now+20*ms, at)
-			for _, r := range rigs {
-				if r.now < now {
-					r.run(now-r.now, reply)
+			for _, h := range rigs {
+				if h.now < now {
+					h.advance(now-h.now, reply)
 				}
 			}
 		}
 		r := rigs[rng.IntN(gateways)]
-		_, as := r.receive(policy.RequestReceived{Tenant: 1, Timeout: 2 * time.Second, Units: 1, TenantGateways: gateways})
-		k += float64(r.passAll(sent(append(as, r.run(ms, reply)...))))
+		_, as := r.receiveEvent(policy.RequestReceived{Tenant: 1, Timeout: 2 * time.Second, Units: 1, TenantGateways: gateways})
+		k += float64(r.succeedAll(startedAttempts(append(as, r.advance(ms, reply)...))))
 	}
 	return k
 }
@@ -125,10 +125,10 @@
 	// more is for uncoordinated decisions, at gateways that know nothing of the tenant yet.
 	for _, gateways := range []int{1, 3, 100, 277} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
-			if k := fleet(t, gateways, 3, 0); k < 120 || k > 252 {
+			if k := admittedByFleet(t, gateways, 3, 0); k < 120 || k > 252 {
 				t.Errorf("%v units admitted where the quota is 168", k)
 			}
-			if k := fleet(t, gateways, 0.4, 0); k < 50 {
+			if k := admittedByFleet(t, gateways, 0.4, 0); k < 50 {
 				t.Errorf("%v of 64 units admitted well inside the quota", k)
 			}
 		})
@@ -137,7 +137,7 @@
 
 func TestCounterThatRejectsMostCalls(t *testing.T) {
 	for _, gateways := range []int{3, 100} {
-		if k := fleet(t, gateways, 3, 0.8); k < 80 || k > 420 {
+		if k := admittedByFleet(t, gateways, 3, 0.8); k < 80 || k > 420 {
 			t.Errorf("%d gateways: %v units of 480 admitted where the quota is 168", gateways, k)
 		}
 	}
@@ -148,25 +148,25 @@
 		set := settings()
 		set.ActualUnitsReported, set.Plans[0].OverQuotaCost = true, 1
 		// largest returns the largest number of the counter, which holds the bucket, after one request.
-		largest := func(end func(r *rig, counter numbers, attempts []policy.StartAttempt)) float64 {
-			r, counter := newRig(t, set, 6), numbers{}
-			r.receive(sharedBucketRequest(1, 2*time.Second))
-			end(r, counter, sent(r.run(ms, counter.add)))
+		largest := func(end func(h *harness, counter fakeCounter, attempts []policy.StartAttempt)) float64 {
+			h, counter := newHarness(t, set, 6), fakeCounter{}
+			h.receiveEvent(sharedBucketRequest(1, 2*time.Second))
+			end(h, counter, startedAttempts(h.advance(ms, counter.add)))
 			most := 0.0
 			for _, n := range counter {
 				most = max(most, n)
 			}
 			return most
 		}
-		settled := largest(func(r *rig, counter numbers, attempts []policy.StartAttempt) {
+		settled := largest(func(h *harness, counter fakeCounter, attempts []policy.StartAttempt) {
 			for _, s := range attempts {
-				r.step(policy.AttemptEnded{RequestID: s.RequestID, Endpoint: s.Endpoint, Outcome: policy.Succeeded,
+				h.step(policy.AttemptEnded{RequestID: s.RequestID, Endpoint: s.Endpoint, Outcome: policy.Succeeded,
 					Latency: 20 * ms, RequestDone: true, ActualUnits: units})
 			}
-			r.run(ms, counter.add)
+			h.advance(ms, counter.add)
 		})
 		// The number also holds what had refilled a full bucket before the request.
-		unsettled := largest(func(*rig, numbers, []policy.StartAttempt) {})
+		unsettled := largest(func(*harness, fakeCounter, []policy.StartAttempt) {})
 		if got := settled - unsettled + 1; got < want-1e-6 || got > want+1e-6 {
 			t.Errorf("an estimate of 1 that truly was %v took %v units of the bucket", units, got)
 		}
--- a/internal/policy/slowstart_sim_test.go
+++ b/internal/policy/slowstart_sim_test.go
@@ -17,9 +17,9 @@
 const (
 	simEndpoints    = 30
 	simCapacity     = 12.0 // requests of mean work that a warm endpoint does in a second
-	simOneWay       = 2 * ms
+	simOneWayLatency       = 2 * ms
 	simMaxQueue     = 60 // requests that wait at an endpoint; more are turned away
-	simPatience     = 2500 * ms
+	simClientTimeout     = 2500 * ms
 	simUpdateSpread = time.Second // updates reach the gateways within this
 )
 
@@ -64,7 +64,7 @@
 func simSettings(gateways int) policy.Settings {
 	set := settings()
 	set.Gateways = gateways
-	set.Classes = []policy.Class{{LatencyObjective: time.Second, Deadline: simPatience,
+	set.Classes = []policy.Class{{LatencyObjective: time.Second, Deadline: simClientTimeout,
 		Idempotency: policy.Idempotent, PriorityWeight: 1}}
 	set.Plans[1] = policy.Plan{Rate: 1e5, Burst: 1e6, PriorityWeight: 1} // quotas are not what this is about
 	set.SlowStartCapacity, set.SlowStartDuration = 0.27, 18*time.Second
@@ -81,9 +81,9 @@
 	gateway := f.gateways[i]
 	f.requests++
 	incarnation := gateway.incarnation
-	request := &simRequest{id: fmt.Sprintf("%016x", f.requests), retries: retries, deadline: f.Now + simPatience}
+	request := &simRequest{id: fmt.Sprintf("%016x", f.requests), retries: retries, deadline: f.Now + simClientTimeout}
 	gateway.requests[request.id] = request
-	f.After(simPatience, func() {
+	f.After(simClientTimeout, func() {
 		if gateway.incarnation == incarnation && !request.done {
 			request.done = true
 			gateway.step(policy.ClientDisconnected{RequestID: request.id})
@@ -91,7 +91,7 @@
 		f.After(time.Second, func() { delete(gateway.requests, request.id) })
 	})
 	gateway.step(policy.RequestReceived{RequestID: request.id, Plan: 1, Tenant: uint64(i)<<8 | uint64(f.requests%5),
-		Timeout: simPatience, Units: 1, TenantGateways: 1})
+		Timeout: simClientTimeout, Units: 1, TenantGateways: 1})
 }
 
 // offer brings requests, rate a second, until a time.
@@ -225,7 +225,7 @@
 	if succeeded {
 		g.fleet.succeeded++
 	} else if request.retries > 0 {
-		g.fleet.After(simOneWay, func() { g.fleet.receive(request.retries - 1) })
+		g.fleet.After(simOneWayLatency, func() { g.fleet.receive(request.retries - 1) })
 	}
 }
 
@@ -259,7 +259,7 @@
 		}
 	}
 	f.After(until-f.Now, func() { end(policy.TimedOut) })
-	f.After(simOneWay, func() { endpoint.receive(until, end) })
+	f.After(simOneWayLatency, func() { endpoint.receive(until, end) })
 }
 
 // simEndpoint is an endpoint that works on its requests in turn, as fast as it is warm.
@@ -292,7 +292,7 @@
 	}
 	e.received = append(e.received, f.Now)
 	if e.waiting >= simMaxQueue {
-		f.After(simOneWay, func() { end(policy.Overloaded) })
+		f.After(simOneWayLatency, func() { end(policy.Overloaded) })
 		return
 	}
 	e.waiting++
@@ -314,7 +314,7 @@
 	e.utilization = min(e.utilization*fade+work.Seconds(), 1)
 	e.utilizationAt = f.Now
 	if !e.lost {
-		f.After(simOneWay, func() { end(policy.Succeeded) })
+		f.After(simOneWayLatency, func() { end(policy.Succeeded) })
 	}
 }
 
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -9,21 +9,21 @@
 )
 
 func TestEndpointWarmingUpIsSpared(t *testing.T) {
-	r := newRig(t, settings(), 4)
-	restarted := server(0)
+	h := newHarness(t, settings(), 4)
+	restarted := testEndpoint(0)
 	attempts := 0
 	for i := range 200 {
 		if i == 100 { // one restarts while the others go: only it is left
-			restarted.StartedAt = r.now
-			r.step(policy.EndpointsUpdated{Scope: policy.FullUpdate, Endpoints: []policy.Endpoint{restarted}})
+			restarted.StartedAt = h.now
+			h.step(policy.EndpointsUpdated{Scope: policy.FullUpdate, Endpoints: []policy.Endpoint{restarted}})
 		}
-		r.run(20*ms, totals(0))
-		id, actions := r.arrive(0, 1, 1, 1)
-		for _, attempt := range sent(actions) {
+		h.advance(20*ms, replyWithTotal(0))
+		id, actions := h.receive(0, 1, 1, 1)
+		for _, attempt := range startedAttempts(actions) {
 			if i >= 100 {
 				attempts++
 			}
-			r.pass(id, attempt)
+			h.succeed(id, attempt)
 		}
 	}
 	// 50 a second went to all; 1.8 times a fifth of that, growing to two fifths, for 2 s.
@@ -37,17 +37,17 @@
 	// give nothing for ever.
 	set := settings()
 	set.SlowStartDuration = time.Minute
-	r := newRig(t, set, 0)
+	h := newHarness(t, set, 0)
 	update := policy.EndpointsUpdated{Scope: policy.FullUpdate}
 	for i := range 3 {
-		endpoint := server(i)
-		endpoint.StartedAt = r.now
+		endpoint := testEndpoint(i)
+		endpoint.StartedAt = h.now
 		update.Endpoints = append(update.Endpoints, endpoint)
 	}
-	r.step(update)
-	r.run(10*time.Second, nil)
+	h.step(update)
+	h.advance(10*time.Second, nil)
 	// A third of the capacity is there by then: 0.2 + 0.8/6. Endpoints are taken to be 1/1.8 busy when warm.
-	if k := r.admitted(300, 1, 1); k < 140 || k > 220 {
+	if k := h.countAdmitted(300, 1, 1); k < 140 || k > 220 {
 		t.Errorf("%d of 300 requests forwarded 10 s after all endpoints started, want about 180", k)
 	}
 }
--- a/internal/policy/throttle_test.go
+++ b/internal/policy/throttle_test.go
@@ -13,12 +13,12 @@
 	ended policy.AttemptEnded
 }
 
-// deliver hands over the outcomes that are due and returns the others.
-func (r *rig) deliver(pending []pendingOutcome) []pendingOutcome {
+// deliverOutcomes hands over the outcomes that are due and returns the others.
+func (h *harness) deliverOutcomes(pending []pendingOutcome) []pendingOutcome {
 	kept := pending[:0]
 	for _, outcome := range pending {
-		if outcome.at <= r.now {
-			r.step(outcome.ended)
+		if outcome.at <= h.now {
+			h.step(outcome.ended)
 		} else {
 			kept = append(kept, outcome)
 		}
@@ -28,14 +28,14 @@
 
 func TestLossesAtAllEndpointsDoNotLookLikeLoad(t *testing.T) {
 	// Found in incident ic48e92: a quarter of the attempts lost everywhere, the rest at usual latencies.
-	r := newRig(t, settings(), 2)
+	h := newHarness(t, settings(), 2)
 	var pending []pendingOutcome
 	rejected := 0
 	for i := range 1000 {
-		r.run(20*ms, totals(0))
-		pending = r.deliver(pending)
-		id, actions := r.arrive(2, 1, 1, 1)
-		attempts := sent(actions)
+		h.advance(20*ms, replyWithTotal(0))
+		pending = h.deliverOutcomes(pending)
+		id, actions := h.receive(2, 1, 1, 1)
+		attempts := startedAttempts(actions)
 		if len(attempts) == 0 {
 			rejected++
 			continue
@@ -45,7 +45,7 @@
 		if i%4 == 0 {
 			ended.Outcome, ended.Latency, ended.RequestDone = policy.TimedOut, attempts[0].Timeout, false
 		}
-		pending = append(pending, pendingOutcome{r.now + ended.Latency, ended})
+		pending = append(pending, pendingOutcome{h.now + ended.Latency, ended})
 	}
 	if rejected > 50 {
 		t.Errorf("%d of 1000 requests rejected though the endpoints answer at their usual latency", rejected)
@@ -57,10 +57,10 @@
 	inFlight := func(gateways int) (attempts int) {
 		set := settings()
 		set.Gateways = gateways
-		r := newRig(t, set, 4)
+		h := newHarness(t, set, 4)
 		for range 200 { // all at once, nothing is answered
-			_, actions := r.arrive(0, 1, 1, 1)
-			attempts += len(sent(actions))
+			_, actions := h.receive(0, 1, 1, 1)
+			attempts += len(startedAttempts(actions))
 		}
 		return attempts
 	}
@@ -74,17 +74,17 @@
 	attemptsWith := func(lostOfTen int) (attempts int) {
 		set := settings()
 		set.AllowHedging, set.Gateways = false, 100
-		r := newRig(t, set, 20)
+		h := newHarness(t, set, 20)
 		for i := range 400 {
-			r.run(250*ms, totals(0))
-			id, actions := r.arrive(2, 1, 1, 1)
-			for _, attempt := range sent(actions) {
+			h.advance(250*ms, replyWithTotal(0))
+			id, actions := h.receive(2, 1, 1, 1)
+			for _, attempt := range startedAttempts(actions) {
 				attempts++
 				if i%10 >= lostOfTen {
-					r.pass(id, attempt)
+					h.succeed(id, attempt)
 					continue
 				}
-				r.step(policy.AttemptEnded{RequestID: id, Endpoint: attempt.Endpoint,
+				h.step(policy.AttemptEnded{RequestID: id, Endpoint: attempt.Endpoint,
 					Outcome: policy.TimedOut, Latency: attempt.Timeout})
 			}
 		}
