--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -12,8 +12,8 @@
 // The tests of this file count across many gateways what none of them sees alone.
 
 const (
-	fleetGateways = 80
-	fleetEndpoints  = 60
+	fleetGateways  = 80
+	fleetEndpoints = 60
 )
 
 // newFleet starts n gateways that differ in index and seed, with the same list of endpoints.
@@ -80,9 +80,9 @@
 // queueingCounter is a counter service that works on calls in turn, only so many a second.
 type queueingCounter struct {
 	fakeCounter
-	serviceTime   time.Duration // for one call
-	idleAt time.Duration // when all calls so far are done
-	calls  int
+	serviceTime time.Duration // for one call
+	idleAt      time.Duration // when all calls so far are done
+	calls       int
 }
 
 // call returns when the reply comes.
@@ -94,9 +94,9 @@
 
 // dueReply is a reply on its way to a gateway.
 type dueReply struct {
-	at  time.Duration
+	at      time.Duration
 	gateway *harness
-	reply  policy.CounterReplied
+	reply   policy.CounterReplied
 }
 
 // tenantRate is how many requests a second a tenant offers, by its number and the time since the start.
@@ -105,17 +105,17 @@
 // tenantTraffic offers requests of one unit of plan 0 to gateways, each tenant's at its rate, before a counter that
 // is a line.
 type tenantTraffic struct {
-	gateways    []*harness
-	counter *queueingCounter
-	rng     *rand.Rand
-	tenants int
-	rate    tenantRate
-	observe     func(tenant int, now time.Duration, forwarded bool) // each request as it is offered or forwarded; may be nil
+	gateways []*harness
+	counter  *queueingCounter
+	rng      *rand.Rand
+	tenants  int
+	rate     tenantRate
+	observe  func(tenant int, now time.Duration, forwarded bool) // each request as it is offered or forwarded; may be nil
 
 	offered   []float64 // by tenant
 	forwarded []float64
 	replies   []dueReply
-	tenantOf     map[string]int // of a request
+	tenantOf  map[string]int // of a request
 }
 
 // run offers requests for a while. What it offered and what was forwarded are counted from zero.
@@ -179,10 +179,10 @@
 	set.Plans[0].OverQuotaCost = 1
 	const seconds = 60
 	traffic := &tenantTraffic{
-		gateways:    newFleet(t, 60, set, newEndpointList(0, 0)),
-		counter: &queueingCounter{fakeCounter: fakeCounter{}, serviceTime: 200 * time.Microsecond},
-		rng:     rand.New(rand.NewPCG(5, 6)),
-		tenants: 20,
+		gateways: newFleet(t, 60, set, newEndpointList(0, 0)),
+		counter:  &queueingCounter{fakeCounter: fakeCounter{}, serviceTime: 200 * time.Microsecond},
+		rng:      rand.New(rand.NewPCG(5, 6)),
+		tenants:  20,
 		rate: func(tenant int, since time.Duration) float64 {
 			switch {
 			case tenant%2 == 1:
@@ -218,11 +218,11 @@
 	counter := &queueingCounter{fakeCounter: fakeCounter{}, serviceTime: 10 * ms}
 	rigs := newFleet(t, 60, set, newEndpointList(0, 0))
 	traffic := &tenantTraffic{
-		gateways:    rigs,
-		counter: counter,
-		rng:     rand.New(rand.NewPCG(7, 8)),
-		tenants: 20,
-		rate:    func(int, time.Duration) float64 { return 16 },
+		gateways: rigs,
+		counter:  counter,
+		rng:      rand.New(rand.NewPCG(7, 8)),
+		tenants:  20,
+		rate:     func(int, time.Duration) float64 { return 16 },
 	}
 	traffic.run(20 * time.Second)
 	before := counter.calls
@@ -254,7 +254,7 @@
 
 // quotaOracle counts by true token buckets what is asked and what is forwarded inside the quotas and over them.
 type quotaOracle struct {
-	offered     []tokenBucket // by tenant, drained by what it asks
+	offered   []tokenBucket // by tenant, drained by what it asks
 	forwarded []tokenBucket // drained by what is forwarded
 
 	offeredWithin, forwardedWithin, forwardedOver float64
@@ -306,12 +306,12 @@
 			rigs := newFleet(t, gateways, set, newEndpointList(0, 0))
 			quotas := newQuotaOracle(tenants, rigs[0].now)
 			traffic := &tenantTraffic{
-				gateways:    rigs,
-				counter: &queueingCounter{fakeCounter: fakeCounter{}, serviceTime: each},
-				rng:     rand.New(rand.NewPCG(9, 10)),
-				tenants: tenants,
-				rate:    calmDayRate,
-				observe:     quotas.observe,
+				gateways: rigs,
+				counter:  &queueingCounter{fakeCounter: fakeCounter{}, serviceTime: each},
+				rng:      rand.New(rand.NewPCG(9, 10)),
+				tenants:  tenants,
+				rate:     calmDayRate,
+				observe:  quotas.observe,
 			}
 			traffic.run(seconds * time.Second)
 			if quotas.forwardedOver > 0.1*quotas.offeredWithin {
--- a/internal/policy/gateway_test.go
+++ b/internal/policy/gateway_test.go
@@ -8,7 +8,7 @@
 	"swiftpitch/internal/policy"
 )
 
-// The tests of this package drive gateways by hand: a rig stands for the caller of one.
+// The tests of this package drive gateways by hand: a harness stands for the caller of one.
 
 const ms = time.Millisecond
 
@@ -37,14 +37,14 @@
 	}
 }
 
-// harness drives one gateway by hand.
+// harness drives one gateway by hand, in time of its own.
 type harness struct {
-	t      *testing.T
+	t            *testing.T
 	gateway      *policy.Gateway
-	now    time.Duration
-	timers []timer
-	requests int                   // of the last request
-	counterCalls []policy.AddToCounter // calls not answered yet
+	now          time.Duration
+	timers       []timer
+	requests     int                   // handed over so far; the last one has this number
+	counterCalls []policy.AddToCounter // calls without a reply yet
 }
 
 // timer is a timer that the gateway asked for and that has not fired.
@@ -53,61 +53,68 @@
 	id uint64
 }
 
-// newHarness returns a rig whose gateway knows a number of endpoints, at a time that suits most tests.
-func newHarness(t *testing.T, set policy.Settings, servers int) *harness {
+// newHarness returns a harness whose gateway knows a number of endpoints, at a time that suits
+// most tests.
+func newHarness(t *testing.T, set policy.Settings, endpoints int) *harness {
 	t.Helper()
-	return newHarnessAt(t, 1000*time.Second, set, servers)
+	return newHarnessAt(t, 1000*time.Second, set, endpoints)
 }
 
-func newHarnessAt(t *testing.T, now time.Duration, set policy.Settings, servers int) *harness {
+// newHarnessAt is [newHarness] at another time.
+func newHarnessAt(t *testing.T, now time.Duration, set policy.Settings, endpoints int) *harness {
 	t.Helper()
-	h := &harness{t: t, now: now}
-	g, err := policy.New(h.now, set)
+	gateway, err := policy.New(now, set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.gateway = g
+	h := &harness{t: t, gateway: gateway, now: now}
 	list := policy.EndpointsUpdated{Scope: policy.CachedUpdate}
-	for i := range servers {
+	for i := range endpoints {
 		list.Endpoints = append(list.Endpoints, testEndpoint(i))
 	}
 	h.step(list)
 	return h
 }
 
+// testEndpoint returns the endpoint of a number, "s0" for 0. The even ones are in zone 0, the odd
+// ones in zone 1.
 func testEndpoint(i int) policy.Endpoint {
 	return policy.Endpoint{ID: fmt.Sprint("s", i), Zone: i % 2, Weight: 1}
 }
 
 // step hands one event over and keeps the timers and counter calls that come of it.
-func (h *harness) step(ev policy.Event) []policy.Action {
-	out := h.gateway.Step(h.now, ev, nil)
-	for _, a := range out {
-		switch a := a.(type) {
+func (h *harness) step(event policy.Event) []policy.Action {
+	actions := h.gateway.Step(h.now, event, nil)
+	for _, action := range actions {
+		switch action := action.(type) {
 		case policy.StartTimer:
-			h.timers = append(h.timers, timer{at: h.now + a.After, id: a.TimerID})
+			h.timers = append(h.timers, timer{at: h.now + action.After, id: action.TimerID})
 		case policy.AddToCounter:
-			h.counterCalls = append(h.counterCalls, a)
+			h.counterCalls = append(h.counterCalls, action)
 		}
 	}
-	return out
+	return actions
 }
 
-// advance lets time pass, firing timers; reply answers counter calls, nil leaves them unanswered.
-func (h *harness) advance(d time.Duration, reply func(policy.AddToCounter) policy.CounterReplied) (out []policy.Action) {
+// replyFunc is a counter service: it returns the reply to a call.
+type replyFunc func(policy.AddToCounter) policy.CounterReplied
+
+// advance lets time pass, firing timers, and returns the actions that come of it. It hands over
+// the replies to counter calls at once; without a reply function calls stay without a reply.
+func (h *harness) advance(d time.Duration, reply replyFunc) (actions []policy.Action) {
 	for end := h.now + d; ; {
 		for len(h.counterCalls) > 0 && reply != nil {
 			call := h.counterCalls[0]
 			h.counterCalls = h.counterCalls[1:]
-			out = append(out, h.step(reply(call))...)
+			actions = append(actions, h.step(reply(call))...)
 		}
 		due, ok := h.nextTimer(end)
 		if !ok {
 			h.now = end
-			return out
+			return actions
 		}
 		h.now = max(h.now, due.at)
-		out = append(out, h.step(policy.TimerFired{TimerID: due.id})...)
+		actions = append(actions, h.step(policy.TimerFired{TimerID: due.id})...)
 	}
 }
 
@@ -134,35 +141,36 @@
 }
 
 // receiveEvent hands over a request, which it gives a new id, and returns that with the actions.
-func (h *harness) receiveEvent(ev policy.RequestReceived) (string, []policy.Action) {
+func (h *harness) receiveEvent(event policy.RequestReceived) (string, []policy.Action) {
 	h.requests++
-	ev.RequestID = fmt.Sprintf("%016x", h.requests)
-	return ev.RequestID, h.step(ev)
+	event.RequestID = fmt.Sprintf("%016x", h.requests)
+	return event.RequestID, h.step(event)
 }
 
 // startedAttempts returns the attempts that actions start.
-func startedAttempts(actions []policy.Action) (s []policy.StartAttempt) {
-	for _, a := range actions {
-		if a, ok := a.(policy.StartAttempt); ok {
-			s = append(s, a)
+func startedAttempts(actions []policy.Action) (attempts []policy.StartAttempt) {
+	for _, action := range actions {
+		if attempt, ok := action.(policy.StartAttempt); ok {
+			attempts = append(attempts, attempt)
 		}
 	}
-	return s
+	return attempts
 }
 
 // hasAction reports whether there is an action of some type.
 func hasAction[T policy.Action](actions []policy.Action) bool {
-	for _, a := range actions {
-		if _, ok := a.(T); ok {
+	for _, action := range actions {
+		if _, ok := action.(T); ok {
 			return true
 		}
 	}
 	return false
 }
 
-// succeed ends an attempt with success, 20 ms after its start by what it says.
-func (h *harness) succeed(id string, s policy.StartAttempt) {
-	h.step(policy.AttemptEnded{RequestID: id, Endpoint: s.Endpoint, Outcome: policy.Succeeded, Latency: 20 * ms, RequestDone: true})
+// succeed ends an attempt with success; the latency that it reports is 20 ms.
+func (h *harness) succeed(id string, attempt policy.StartAttempt) {
+	h.step(policy.AttemptEnded{RequestID: id, Endpoint: attempt.Endpoint, Outcome: policy.Succeeded,
+		Latency: 20 * ms, RequestDone: true})
 }
 
 // succeedAll ends attempts with success and returns how many they were.
@@ -173,39 +181,40 @@
 	return len(attempts)
 }
 
-// countAdmitted hands over n requests of one unit and returns how many are countAdmitted.
-func (h *harness) countAdmitted(n int, plan int, tenant uint64) (k int) {
+// countAdmitted hands over n requests of one unit and returns how many are admitted.
+func (h *harness) countAdmitted(n int, plan int, tenant uint64) (admitted int) {
 	for range n {
 		id, actions := h.receive(0, plan, tenant, 1)
-		if s := startedAttempts(actions); len(s) == 1 {
-			k++
-			h.succeed(id, s[0])
+		if attempts := startedAttempts(actions); len(attempts) == 1 {
+			admitted++
+			h.succeed(id, attempts[0])
 		}
 	}
-	return k
+	return admitted
 }
 
 // replyWithTotal answers reads with a fixed total and adds with what was added.
-func replyWithTotal(total float64) func(policy.AddToCounter) policy.CounterReplied {
-	return func(c policy.AddToCounter) policy.CounterReplied {
-		if c.Units == 0 {
-			return policy.CounterReplied{Key: c.Key, Total: total}
+func replyWithTotal(total float64) replyFunc {
+	return func(call policy.AddToCounter) policy.CounterReplied {
+		if call.Units == 0 {
+			return policy.CounterReplied{Key: call.Key, Total: total}
 		}
-		return policy.CounterReplied{Key: c.Key, Total: c.Units}
+		return policy.CounterReplied{Key: call.Key, Total: call.Units}
 	}
 }
 
 // replyWithOutcome answers counter calls with an outcome and no total.
-func replyWithOutcome(outcome policy.Outcome) func(policy.AddToCounter) policy.CounterReplied {
-	return func(c policy.AddToCounter) policy.CounterReplied {
-		return policy.CounterReplied{Key: c.Key, Outcome: outcome}
+func replyWithOutcome(outcome policy.Outcome) replyFunc {
+	return func(call policy.AddToCounter) policy.CounterReplied {
+		return policy.CounterReplied{Key: call.Key, Outcome: outcome}
 	}
 }
 
-// fakeCounter is a counter service that forgets nothing.
+// fakeCounter is a counter service whose totals, by key, never expire.
 type fakeCounter map[uint64]float64
 
-func (n fakeCounter) add(c policy.AddToCounter) policy.CounterReplied {
-	n[c.Key] += c.Units
-	return policy.CounterReplied{Key: c.Key, Total: n[c.Key]}
+// add adds the units of a call and returns the new total.
+func (totals fakeCounter) add(call policy.AddToCounter) policy.CounterReplied {
+	totals[call.Key] += call.Units
+	return policy.CounterReplied{Key: call.Key, Total: totals[call.Key]}
 }
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -14,14 +14,17 @@
 		Outcome: policy.TimedOut, Latency: attempt.Timeout})
 }
 
-func TestHangingEndpointIsEjected(t *testing.T) {
+// attemptsAtFaultyEndpoint offers 400 requests of a class to four endpoints, of which one fails
+// each of its attempts in the way of fail. It returns how many attempts that one got of the
+// requests after the first hundred.
+func attemptsAtFaultyEndpoint(t *testing.T, class int, fail func(*harness, policy.StartAttempt)) (late int) {
+	t.Helper()
 	set := settings()
 	set.AllowHedging = false
 	h := newHarness(t, set, 4)
-	late := 0
 	for i := range 400 {
 		h.advance(20*ms, replyWithTotal(0))
-		id, actions := h.receive(0, 1, 1, 1)
+		id, actions := h.receive(class, 1, 1, 1)
 		for _, attempt := range startedAttempts(actions) {
 			if attempt.Endpoint != "s1" {
 				h.succeed(id, attempt)
@@ -30,14 +33,31 @@
 			if i > 100 {
 				late++
 			}
-			h.timeOut(id, 0, attempt)
+			fail(h, attempt)
 		}
 	}
+	return late
+}
+
+func TestHangingEndpointIsEjected(t *testing.T) {
+	late := attemptsAtFaultyEndpoint(t, 0, func(h *harness, attempt policy.StartAttempt) {
+		h.timeOut(attempt.RequestID, 0, attempt)
+	})
 	if late > 15 {
 		t.Errorf("%d of 300 requests still went to an endpoint that answers nothing", late)
 	}
 }
 
+func TestFastFailingEndpointIsEjected(t *testing.T) {
+	late := attemptsAtFaultyEndpoint(t, 2, func(h *harness, attempt policy.StartAttempt) {
+		h.step(policy.AttemptEnded{RequestID: attempt.RequestID, Endpoint: attempt.Endpoint,
+			Outcome: policy.ServerError, Latency: ms})
+	})
+	if late > 3 {
+		t.Errorf("%d of 300 requests that are not idempotent went to an endpoint that fails them", late)
+	}
+}
+
 func TestReadmittedEndpointsAreNotThrottledToNothing(t *testing.T) {
 	// Found on a deployment: after all endpoints had been ejected and had come back, a gateway that
 	// had forwarded nothing meanwhile allowed itself nothing.
@@ -111,27 +131,3 @@
 		t.Errorf("%d health checks, and %d requests to an endpoint that fails them", healthChecks, attemptsAfter)
 	}
 }
-
-func TestFastFailingEndpointIsEjected(t *testing.T) {
-	set := settings()
-	set.AllowHedging = false
-	h := newHarness(t, set, 4)
-	late := 0
-	for i := range 400 {
-		h.advance(20*ms, replyWithTotal(0))
-		id, actions := h.receive(2, 1, 1, 1)
-		for _, attempt := range startedAttempts(actions) {
-			if attempt.Endpoint != "s1" {
-				h.succeed(id, attempt)
-				continue
-			}
-			if i > 100 {
-				late++
-			}
-			h.step(policy.AttemptEnded{RequestID: id, Endpoint: attempt.Endpoint, Outcome: policy.ServerError, Latency: ms})
-		}
-	}
-	if late > 3 {
-		t.Errorf("%d of 300 requests that are not idempotent went to an endpoint that fails them", late)
-	}
-}
--- a/internal/policy/quota_test.go
+++ b/internal/policy/quota_test.go
@@ -14,15 +14,16 @@
 	}
 }
 
-// admittedAtSteadyDemand offers 5 units an interval of 2 s and returns the units admitted over the last 20 s.
-func admittedAtSteadyDemand(h *harness, reply func(policy.AddToCounter) policy.CounterReplied) (k int) {
+// admittedAtSteadyDemand offers 5 units an interval of 2 s and returns the units admitted
+// over the last 20 s.
+func admittedAtSteadyDemand(h *harness, reply replyFunc) (units int) {
 	for i := range 100 {
 		h.advance(400*ms, reply)
-		if n := h.countAdmitted(1, 0, 1); i >= 50 {
-			k += n
+		if admitted := h.countAdmitted(1, 0, 1); i >= 50 {
+			units += admitted
 		}
 	}
-	return k
+	return units
 }
 
 func TestAllocationFollowsTheDemandShareOverQuota(t *testing.T) {
@@ -43,9 +44,9 @@
 }
 
 func TestUnresponsiveOrResetCounterKeepsTheAllocation(t *testing.T) {
-	for name, reply := range map[string]func(policy.AddToCounter) policy.CounterReplied{
-		"mute":    replyWithOutcome(policy.TimedOut),
-		"emptied": replyWithTotal(0),
+	for name, reply := range map[string]replyFunc{
+		"unresponsive": replyWithOutcome(policy.TimedOut),
+		"reset":        replyWithTotal(0),
 	} {
 		h := newHarness(t, settings(), 6)
 		admittedAtSteadyDemand(h, replyWithTotal(20))
@@ -60,9 +61,9 @@
 	h.countAdmitted(2, 0, 1)
 	var calls []policy.AddToCounter
 	overloaded := replyWithOutcome(policy.Overloaded)
-	h.advance(2500*ms, func(c policy.AddToCounter) policy.CounterReplied {
-		calls = append(calls, c)
-		return overloaded(c)
+	h.advance(2500*ms, func(call policy.AddToCounter) policy.CounterReplied {
+		calls = append(calls, call)
+		return overloaded(call)
 	})
 	if len(calls) != 2 || calls[0].Units != 2 || calls[1] != calls[0] {
 		t.Errorf("calls %v: want the read to add what the add did not", calls)
@@ -71,7 +72,7 @@
 
 func TestHardLimitAlsoAfterRestart(t *testing.T) {
 	// Whatever earlier incarnations spent, each new one starts with nothing of the hard limit: it finds their
-	// record at the counter, and where the counter is mute it takes the record to be there.
+	// record at the counter, and where the counter does not respond it takes the record to be there.
 	units, counter := 0, fakeCounter{}
 	for incarnation := range 5 {
 		reply := counter.add
@@ -112,7 +113,7 @@
 }
 
 func TestRetriesLeaveTheTokensToFirstAttempts(t *testing.T) {
-	// Found on quiet days: late retries used up what first tries then lacked.
+	// Found on quiet days: late retries used up tokens that first attempts then lacked.
 	h := newHarness(t, settings(), 6)
 	retryAdmitted := func() bool {
 		_, actions := h.receiveEvent(policy.RequestReceived{Tenant: 1, Timeout: time.Second, Units: 1, TenantGateways: 3, IsRetry: true})
@@ -125,22 +126,22 @@
 		t.Error("a retry was admitted by a token bucket that is partly used")
 	}
 	if h.countAdmitted(1, 0, 1) != 1 {
-		t.Error("a first try was rejected by the same token bucket")
+		t.Error("a first attempt was rejected by the same token bucket")
 	}
 }
 
 func TestFailingCounterIsCalledLess(t *testing.T) {
 	// Found in incidents i8728b4 and if8a11d: a counter that is outgrown fails all calls.
-	calls := func(o policy.Outcome) (k int) {
+	calls := func(outcome policy.Outcome) (count int) {
 		h := newHarness(t, settings(), 6)
 		for range 100 {
-			h.advance(400*ms, func(c policy.AddToCounter) policy.CounterReplied {
-				k++
-				return policy.CounterReplied{Key: c.Key, Outcome: o, Total: 3}
+			h.advance(400*ms, func(call policy.AddToCounter) policy.CounterReplied {
+				count++
+				return policy.CounterReplied{Key: call.Key, Outcome: outcome, Total: 3}
 			})
 			h.countAdmitted(1, 0, 1)
 		}
-		return k
+		return count
 	}
 	succeeding, overloaded := calls(policy.Succeeded), calls(policy.Overloaded)
 	if overloaded*2 > succeeding || overloaded == 0 {
@@ -178,13 +179,13 @@
 }
 
 func TestSlowCounterStillGivesTheAllocation(t *testing.T) {
-	// The adds are answered too late, yet they arrived, and the reads tell the total.
+	// The replies to adds come too late, yet the adds arrived, and the reads tell the total.
 	h := newHarness(t, settings(), 6)
-	k := admittedAtSteadyDemand(h, func(c policy.AddToCounter) policy.CounterReplied {
-		if c.Units > 0 {
-			return policy.CounterReplied{Key: c.Key, Outcome: policy.TimedOut}
+	k := admittedAtSteadyDemand(h, func(call policy.AddToCounter) policy.CounterReplied {
+		if call.Units > 0 {
+			return policy.CounterReplied{Key: call.Key, Outcome: policy.TimedOut}
 		}
-		return policy.CounterReplied{Key: c.Key, Total: 20}
+		return policy.CounterReplied{Key: call.Key, Total: 20}
 	})
 	if k < 14 || k > 24 {
 		t.Errorf("a quarter of the demand got %d of 80 units, want about 20", k)
@@ -195,13 +196,13 @@
 	set := settings()
 	set.CounterEnabled = false
 	h := newHarness(t, set, 6)
-	k := 0
+	units := 0
 	for range 200 { // 20 s: a third of 4 units a second, and of the burst
 		h.advance(100*ms, nil)
-		k += h.countAdmitted(1, 0, 1)
+		units += h.countAdmitted(1, 0, 1)
 	}
-	if len(h.counterCalls) > 0 || k < 25 || k > 31 {
-		t.Errorf("%d units admitted with %d calls, want about 29 and none", k, len(h.counterCalls))
+	if len(h.counterCalls) > 0 || units < 25 || units > 31 {
+		t.Errorf("%d units admitted with %d calls, want about 29 and none", units, len(h.counterCalls))
 	}
 }
 
@@ -215,7 +216,7 @@
 	}{
 		{"the others left all", 0, policy.Succeeded, true},
 		{"the others used all", 100, policy.Succeeded, false},
-		{"the counter is mute", 0, policy.TimedOut, false},
+		{"the counter does not respond", 0, policy.TimedOut, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			set := settings()
--- a/internal/policy/sequences_test.go
+++ b/internal/policy/sequences_test.go
@@ -50,7 +50,7 @@
 	t        *testing.T
 	seed     uint64
 	set      policy.Settings
-	harness      *harness
+	harness  *harness
 	requests map[string]*oracleRequest
 	order    []string // ids in the order of arrival
 	zones    map[string]int
--- a/internal/policy/slowstart_sim_test.go
+++ b/internal/policy/slowstart_sim_test.go
@@ -15,12 +15,12 @@
 // This file simulates a whole fleet of gateways before endpoints that start slowly.
 
 const (
-	simEndpoints    = 30
-	simCapacity     = 12.0 // requests of mean work that a warm endpoint does in a second
-	simOneWayLatency       = 2 * ms
-	simMaxQueue     = 60 // requests that wait at an endpoint; more are turned away
-	simClientTimeout     = 2500 * ms
-	simUpdateSpread = time.Second // updates reach the gateways within this
+	simEndpoints     = 30
+	simCapacity      = 12.0 // requests of mean work that a warm endpoint does in a second
+	simOneWayLatency = 2 * ms
+	simMaxQueue      = 60 // requests that wait at an endpoint; more are turned away
+	simClientTimeout = 2500 * ms
+	simUpdateSpread  = time.Second // updates reach the gateways within this
 )
 
 // simFleet is a fleet of gateways before its endpoints, in simulated time.
