--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -9,7 +9,7 @@
 	"swiftpitch/internal/policy"
 )
 
-// The tests of this file count across many gateways what none of them sees alone.
+// The tests of this file count across many gateways what none of them can count alone.
 
 const (
 	fleetGateways  = 80
@@ -17,26 +17,26 @@
 )
 
 // newFleet starts n gateways that differ in index and seed, with the same list of endpoints.
-func newFleet(t *testing.T, n int, set policy.Settings, servers []policy.Endpoint) []*harness {
+func newFleet(t *testing.T, n int, set policy.Settings, endpoints []policy.Endpoint) []*harness {
 	t.Helper()
-	var rigs []*harness
+	var gateways []*harness
 	for i := range n {
 		set.Seed, set.GatewayIndex, set.Gateways = uint64(i+1), i, n
 		h := newHarnessAt(t, time.Minute, set, 0)
-		h.step(policy.EndpointsUpdated{Scope: policy.FullUpdate, Endpoints: servers})
-		rigs = append(rigs, h)
+		h.step(policy.EndpointsUpdated{Scope: policy.FullUpdate, Endpoints: endpoints})
+		gateways = append(gateways, h)
 	}
-	return rigs
+	return gateways
 }
 
-// newEndpointList is a list of endpoints of which the first have just started.
+// newEndpointList returns a list of endpoints of which the first have just started.
 func newEndpointList(now time.Duration, warmingUp int) (list []policy.Endpoint) {
 	for i := range fleetEndpoints {
-		s := policy.Endpoint{ID: fmt.Sprint("s", i), Weight: 1}
+		endpoint := policy.Endpoint{ID: fmt.Sprint("s", i), Weight: 1}
 		if i < warmingUp {
-			s.StartedAt = now
+			endpoint.StartedAt = now
 		}
-		list = append(list, s)
+		list = append(list, endpoint)
 	}
 	return list
 }
@@ -52,32 +52,32 @@
 				for range 300 {
 					h.advance(10*ms, replyWithTotal(0))
 					id, actions := h.receive(0, 1, 1, 1)
-					for _, s := range startedAttempts(actions) {
-						attempts[s.Endpoint]++
+					for _, attempt := range startedAttempts(actions) {
+						attempts[attempt.Endpoint]++
 						total++
-						h.succeed(id, s)
+						h.succeed(id, attempt)
 					}
 				}
 			}
 			capacity := float64(fleetEndpoints-warmingUp) + float64(warmingUp)*set.SlowStartCapacity
-			toWarmingUp, most := 0.0, 0.0
+			toWarmingUp, maxShare := 0.0, 0.0
 			for i := range warmingUp {
-				k := attempts[fmt.Sprint("s", i)]
-				toWarmingUp += k
-				most = max(most, k/(total/fleetEndpoints*set.SlowStartCapacity))
+				count := attempts[fmt.Sprint("s", i)]
+				toWarmingUp += count
+				maxShare = max(maxShare, count/(total/fleetEndpoints*set.SlowStartCapacity))
 			}
 			want := float64(warmingUp) * set.SlowStartCapacity / capacity
 			if toWarmingUp/total < 0.75*want || toWarmingUp/total > 1.25*want {
 				t.Errorf("%.3f of the work went to endpoints warming up, which have %.3f of the capacity", toWarmingUp/total, want)
 			}
-			if most > set.OverloadMultiple {
-				t.Errorf("an endpoint warming up got %.2f times its part of the mean work, %v overload it", most, set.OverloadMultiple)
+			if maxShare > set.OverloadMultiple {
+				t.Errorf("an endpoint warming up got %.2f times its part of the mean work, %v overload it", maxShare, set.OverloadMultiple)
 			}
 		})
 	}
 }
 
-// queueingCounter is a counter service that works on calls in turn, only so many a second.
+// queueingCounter is a counter service that serves calls one after another, so that they queue.
 type queueingCounter struct {
 	fakeCounter
 	serviceTime time.Duration // for one call
@@ -85,11 +85,11 @@
 	calls       int
 }
 
-// call returns when the reply comes.
-func (l *queueingCounter) call(now time.Duration) time.Duration {
-	l.calls++
-	l.idleAt = max(l.idleAt, now) + l.serviceTime
-	return l.idleAt
+// call queues a call and returns when its reply comes.
+func (c *queueingCounter) call(now time.Duration) time.Duration {
+	c.calls++
+	c.idleAt = max(c.idleAt, now) + c.serviceTime
+	return c.idleAt
 }
 
 // dueReply is a reply on its way to a gateway.
@@ -102,8 +102,8 @@
 // tenantRate is how many requests a second a tenant offers, by its number and the time since the start.
 type tenantRate func(tenant int, since time.Duration) float64
 
-// tenantTraffic offers requests of one unit of plan 0 to gateways, each tenant's at its rate, before a counter that
-// is a line.
+// tenantTraffic offers requests of one unit of plan 0 to gateways, each tenant's at its rate, and
+// carries their calls to a counter at which they queue.
 type tenantTraffic struct {
 	gateways []*harness
 	counter  *queueingCounter
@@ -156,17 +156,17 @@
 
 // handle ends the attempts that a gateway starts and hands its calls to the counter.
 func (tr *tenantTraffic) handle(h *harness, actions []policy.Action) {
-	for _, a := range actions {
-		switch a := a.(type) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case policy.StartAttempt:
-			tenant := tr.tenantOf[a.RequestID]
+			tenant := tr.tenantOf[action.RequestID]
 			tr.forwarded[tenant]++
 			if tr.observe != nil {
 				tr.observe(tenant, h.now, true)
 			}
-			h.succeed(a.RequestID, a)
+			h.succeed(action.RequestID, action)
 		case policy.AddToCounter:
-			tr.replies = append(tr.replies, dueReply{tr.counter.call(h.now), h, tr.counter.add(a)})
+			tr.replies = append(tr.replies, dueReply{tr.counter.call(h.now), h, tr.counter.add(action)})
 		}
 	}
 	h.counterCalls = h.counterCalls[:0]
@@ -194,16 +194,16 @@
 		},
 	}
 	traffic.run(seconds * time.Second)
-	inside, over := 0.0, 0.0
-	for tenant, k := range traffic.forwarded {
+	within, over := 0.0, 0.0
+	for tenant, units := range traffic.forwarded {
 		if tenant%2 == 0 {
-			inside += k / traffic.offered[tenant] / 10
+			within += units / traffic.offered[tenant] / 10
 		} else {
-			over += k / (4*seconds + 8) / 10
+			over += units / (4*seconds + 8) / 10
 		}
 	}
-	if inside < 0.83 { // chance takes some bursts over the bucket
-		t.Errorf("%.2f of what was asked inside the quotas was forwarded", inside)
+	if within < 0.83 { // chance takes some bursts over the bucket
+		t.Errorf("%.2f of what was offered within the quotas was forwarded", within)
 	}
 	if over < 0.9 || over > 1.1 {
 		t.Errorf("tenants that ask four times their quota got %.2f times it", over)
@@ -216,9 +216,9 @@
 	set := settings()
 	set.Plans[0].OverQuotaCost = 1
 	counter := &queueingCounter{fakeCounter: fakeCounter{}, serviceTime: 10 * ms}
-	rigs := newFleet(t, 60, set, newEndpointList(0, 0))
+	gateways := newFleet(t, 60, set, newEndpointList(0, 0))
 	traffic := &tenantTraffic{
-		gateways: rigs,
+		gateways: gateways,
 		counter:  counter,
 		rng:      rand.New(rand.NewPCG(7, 8)),
 		tenants:  20,
@@ -227,15 +227,15 @@
 	traffic.run(20 * time.Second)
 	before := counter.calls
 	traffic.run(10 * time.Second)
-	if k := counter.calls - before; k > 1100 || k < 300 {
-		t.Errorf("%d calls in 10 s to a counter that serves 1000", k)
+	if calls := counter.calls - before; calls > 1100 || calls < 300 {
+		t.Errorf("%d calls in 10 s to a counter that serves 1000", calls)
 	}
-	if wait := counter.idleAt - rigs[0].now; wait > 5*set.CounterTimeout {
-		t.Errorf("its line is %v long", wait)
+	if wait := counter.idleAt - gateways[0].now; wait > 5*set.CounterTimeout {
+		t.Errorf("its queue is %v long", wait)
 	}
 }
 
-// tokenBucket is a tenant's quota as it truly is: a token tokenBucket that fills at a rate.
+// tokenBucket is a tenant's quota as it truly is: a token bucket that refills at a rate.
 type tokenBucket struct {
 	rate, burst, tokens float64
 	at                  time.Duration
@@ -252,9 +252,10 @@
 	return true
 }
 
-// quotaOracle counts by true token buckets what is asked and what is forwarded inside the quotas and over them.
+// quotaOracle counts by true token buckets what is offered and what is forwarded within the quotas and
+// over them.
 type quotaOracle struct {
-	offered   []tokenBucket // by tenant, drained by what it asks
+	offered   []tokenBucket // by tenant, drained by what it offers
 	forwarded []tokenBucket // drained by what is forwarded
 
 	offeredWithin, forwardedWithin, forwardedOver float64
@@ -296,17 +297,17 @@
 }
 
 func TestFleetKeepsQuotasOnACalmDay(t *testing.T) {
-	// What the fleet forwards over the quotas costs at most 0.1 of what is asked inside them: so it is at most 0.1
+	// What the fleet forwards over the quotas costs at most 0.1 of what is offered within them: so it is at most 0.1
 	// more than under any policy that sees the true buckets late. Plan 0 has 4 units a second and a burst of 8.
 	const seconds, gateways, tenants = 40, 30, 30
 	for _, each := range []time.Duration{4 * ms, 20 * ms} { // a counter with calls to spare, and one with few
 		t.Run(fmt.Sprint("a call each ", each), func(t *testing.T) {
 			set := settings()
 			set.Plans[0].OverQuotaCost = 1
-			rigs := newFleet(t, gateways, set, newEndpointList(0, 0))
-			quotas := newQuotaOracle(tenants, rigs[0].now)
+			harnesses := newFleet(t, gateways, set, newEndpointList(0, 0))
+			quotas := newQuotaOracle(tenants, harnesses[0].now)
 			traffic := &tenantTraffic{
-				gateways: rigs,
+				gateways: harnesses,
 				counter:  &queueingCounter{fakeCounter: fakeCounter{}, serviceTime: each},
 				rng:      rand.New(rand.NewPCG(9, 10)),
 				tenants:  tenants,
@@ -315,10 +316,10 @@
 			}
 			traffic.run(seconds * time.Second)
 			if quotas.forwardedOver > 0.1*quotas.offeredWithin {
-				t.Errorf("%.3f of what is asked inside the quotas was forwarded over them", quotas.forwardedOver/quotas.offeredWithin)
+				t.Errorf("%.3f of what is offered within the quotas was forwarded over them", quotas.forwardedOver/quotas.offeredWithin)
 			}
 			if quotas.forwardedWithin < 0.75*quotas.offeredWithin { // rejecting all costs nothing
-				t.Errorf("%.3f of what is asked inside the quotas was forwarded", quotas.forwardedWithin/quotas.offeredWithin)
+				t.Errorf("%.3f of what is offered within the quotas was forwarded", quotas.forwardedWithin/quotas.offeredWithin)
 			}
 		})
 	}
--- a/internal/policy/gateway_test.go
+++ b/internal/policy/gateway_test.go
@@ -118,6 +118,11 @@
 	}
 }
 
+// lastCounterCall returns the last call to the counter, which has no reply yet.
+func (h *harness) lastCounterCall() policy.AddToCounter {
+	return h.counterCalls[len(h.counterCalls)-1]
+}
+
 // nextTimer removes and returns the timer that fires first, if that is by end.
 func (h *harness) nextTimer(end time.Duration) (due timer, ok bool) {
 	next := -1
--- a/internal/policy/quota_test.go
+++ b/internal/policy/quota_test.go
@@ -246,6 +246,6 @@
 		if hasAction[policy.Reject](actions) || !hasAction[policy.AddToCounter](actions) {
 			t.Fatalf("request %d: no call before a rejection: %v", i, actions)
 		}
-		return h.counterCalls[len(h.counterCalls)-1]
+		return h.lastCounterCall()
 	}
 }
--- a/internal/policy/sequences_test.go
+++ b/internal/policy/sequences_test.go
@@ -163,12 +163,12 @@
 			inFlight++
 		}
 		if o.mayRunTwice(request, earlier, start.Endpoint) {
-			o.t.Fatalf("seed %d: class %d sent again to %s after %+v", o.seed, request.class, start.Endpoint, *earlier)
+			o.t.Fatalf("seed %d: class %d: another attempt at %s after %+v", o.seed, request.class, start.Endpoint, *earlier)
 		}
 	}
 	if request.answered || start.Endpoint == o.draining || len(request.attempts) >= o.set.MaxAttempts ||
 		inFlight > 1 || inFlight > 0 && !o.set.AllowHedging {
-		o.t.Fatalf("seed %d: send of %s to %s is not allowed", o.seed, start.RequestID, start.Endpoint)
+		o.t.Fatalf("seed %d: attempt of %s at %s is not allowed", o.seed, start.RequestID, start.Endpoint)
 	}
 	expiresAt := request.deadline
 	if start.Timeout > 0 {
--- a/internal/policy/sharedbucket_test.go
+++ b/internal/policy/sharedbucket_test.go
@@ -15,31 +15,36 @@
 	return policy.RequestReceived{Tenant: tenant, Timeout: timeout, Units: 1, TenantGateways: 100}
 }
 
+// isDecided reports whether a request is admitted or rejected by actions, and not held.
+func isDecided(actions []policy.Action) bool {
+	return len(startedAttempts(actions)) > 0 || hasAction[policy.Reject](actions)
+}
+
 func TestSmallSharesAreDecidedByTheSharedBucket(t *testing.T) {
 	// Of a quota of 8 an interval one of 100 gateways has less than a request: the total decides, not an allocation.
-	decide := func(total float64, timeout time.Duration) (asked, admitted int) {
+	decide := func(total float64, timeout time.Duration) (calls, admitted int) {
 		set := settings()
 		set.Plans[0].OverQuotaCost, set.CounterTimeout = 1, 400*ms
 		h := newHarness(t, set, 6)
 		for i := range 40 {
 			_, actions := h.receiveEvent(sharedBucketRequest(uint64(i), timeout))
 			if hasAction[policy.AddToCounter](actions) {
-				asked++
+				calls++
 				if len(startedAttempts(actions)) > 0 && timeout > time.Second {
 					t.Error("forwarded before the total was read")
 				}
-				c := h.counterCalls[len(h.counterCalls)-1]
-				actions = append(actions, h.step(policy.CounterReplied{Key: c.Key, Total: total * c.Units})...)
+				call := h.lastCounterCall()
+				actions = append(actions, h.step(policy.CounterReplied{Key: call.Key, Total: total * call.Units})...)
 			}
 			admitted += h.succeedAll(startedAttempts(actions))
 		}
-		return asked, admitted
+		return calls, admitted
 	}
-	if asked, admitted := decide(1, 2*time.Second); asked < 10 || admitted != 40 {
-		t.Errorf("%d asked, %d of 40 admitted by an unused quota", asked, admitted)
+	if calls, admitted := decide(1, 2*time.Second); calls < 10 || admitted != 40 {
+		t.Errorf("%d calls, %d of 40 admitted by an unused quota", calls, admitted)
 	}
-	if asked, admitted := decide(1000, 2*time.Second); admitted > 40-asked {
-		t.Errorf("%d asked, %d of 40 admitted over the quota", asked, admitted)
+	if calls, admitted := decide(1000, 2*time.Second); admitted > 40-calls {
+		t.Errorf("%d calls, %d of 40 admitted over the quota", calls, admitted)
 	}
 	if _, admitted := decide(1000, 700*ms); admitted == 0 {
 		t.Error("near the client's deadline a request must not wait for the counter")
@@ -53,16 +58,16 @@
 	held := 0
 	for i := range 40 {
 		_, actions := h.receiveEvent(sharedBucketRequest(uint64(i), 2*time.Second))
-		if len(startedAttempts(actions)) > 0 || hasAction[policy.Reject](actions) {
+		if isDecided(actions) {
 			continue
 		}
 		held++
-		c := h.counterCalls[len(h.counterCalls)-1]
+		call := h.lastCounterCall()
 		actions = h.advance(30*ms, nil)
-		if len(startedAttempts(actions)) == 0 && !hasAction[policy.Reject](actions) {
+		if !isDecided(actions) {
 			t.Fatal("a request is still held after CounterTimeout")
 		}
-		if actions = h.step(policy.CounterReplied{Key: c.Key, Total: 1}); len(startedAttempts(actions)) > 0 || hasAction[policy.Reject](actions) {
+		if actions = h.step(policy.CounterReplied{Key: call.Key, Total: 1}); isDecided(actions) {
 			t.Fatal("a request is decided twice")
 		}
 	}
@@ -78,46 +83,47 @@
 	h.now += 2 * time.Second // events come late
 	for i := range 20 {
 		_, actions := h.receiveEvent(sharedBucketRequest(uint64(i), time.Second))
-		if len(startedAttempts(actions)) == 0 && !hasAction[policy.Reject](actions) {
+		if !isDecided(actions) {
 			t.Fatal("a request is held by a gateway that stalls now and then")
 		}
 	}
 }
 
-// admittedByFleet offers a tenant's requests of one unit, at times the quota of 4 a second, through a number of gateways for
-// 40 s before a shared counter, which rejects a part of their calls, and returns the units admitted.
-func admittedByFleet(t *testing.T, gateways int, times float64, rejected float64) (k float64) {
+// admittedByFleet offers a tenant's requests of one unit, at times the quota of 4 a second, through a number of
+// gateways for 40 s before a shared counter, which rejects a part of their calls, and returns the units admitted.
+func admittedByFleet(t *testing.T, gateways int, times float64, rejected float64) (units float64) {
 	t.Helper()
 	set := settings()
 	set.Gateways, set.Plans[0].OverQuotaCost = gateways, 1
 	rng := rand.New(rand.NewPCG(3, uint64(gateways)))
-	var rigs []*harness
+	var harnesses []*harness
 	for i := range gateways {
 		set.GatewayIndex, set.Seed = i, uint64(i)
-		rigs = append(rigs, newHarness(t, set, 6))
+		harnesses = append(harnesses, newHarness(t, set, 6))
 	}
 	counter, now := fakeCounter{}, 1000*time.Second
-	reply := func(c policy.AddToCounter) policy.CounterReplied {
+	reply := func(call policy.AddToCounter) policy.CounterReplied {
 		if rng.Float64() < rejected {
-			return policy.CounterReplied{Key: c.Key, Outcome: policy.Overloaded}
+			return policy.CounterReplied{Key: call.Key, Outcome: policy.Overloaded}
 		}
-		return counter.add(c)
+		return counter.add(call)
 	}
 	for i := range int(160 * times) {
 		at := 1000*time.Second + time.Duration(float64(i)/(4*times)*1e9)
 		for now < at { // in steps shorter than CounterTimeout, so that adds come before reads
 			now = min(now+20*ms, at)
-			for _, h := range rigs {
+			for _, h := range harnesses {
 				if h.now < now {
 					h.advance(now-h.now, reply)
 				}
 			}
 		}
-		r := rigs[rng.IntN(gateways)]
-		_, as := r.receiveEvent(policy.RequestReceived{Tenant: 1, Timeout: 2 * time.Second, Units: 1, TenantGateways: gateways})
-		k += float64(r.succeedAll(startedAttempts(append(as, r.advance(ms, reply)...))))
+		h := harnesses[rng.IntN(gateways)]
+		_, actions := h.receiveEvent(policy.RequestReceived{Tenant: 1, Timeout: 2 * time.Second, Units: 1, TenantGateways: gateways})
+		actions = append(actions, h.advance(ms, reply)...)
+		units += float64(h.succeedAll(startedAttempts(actions)))
 	}
-	return k
+	return units
 }
 
 func TestFleetKeepsTheQuotaOverAnyNumberOfGateways(t *testing.T) {
@@ -147,25 +153,25 @@
 	for units, want := range map[float64]float64{1: 1, 3: 3} {
 		set := settings()
 		set.ActualUnitsReported, set.Plans[0].OverQuotaCost = true, 1
-		// largest returns the largest number of the counter, which holds the bucket, after one request.
+		// largest returns the largest total of the counter, which holds the bucket, after one request.
 		largest := func(end func(h *harness, counter fakeCounter, attempts []policy.StartAttempt)) float64 {
 			h, counter := newHarness(t, set, 6), fakeCounter{}
 			h.receiveEvent(sharedBucketRequest(1, 2*time.Second))
 			end(h, counter, startedAttempts(h.advance(ms, counter.add)))
-			most := 0.0
-			for _, n := range counter {
-				most = max(most, n)
+			maxTotal := 0.0
+			for _, total := range counter {
+				maxTotal = max(maxTotal, total)
 			}
-			return most
+			return maxTotal
 		}
 		settled := largest(func(h *harness, counter fakeCounter, attempts []policy.StartAttempt) {
-			for _, s := range attempts {
-				h.step(policy.AttemptEnded{RequestID: s.RequestID, Endpoint: s.Endpoint, Outcome: policy.Succeeded,
+			for _, attempt := range attempts {
+				h.step(policy.AttemptEnded{RequestID: attempt.RequestID, Endpoint: attempt.Endpoint, Outcome: policy.Succeeded,
 					Latency: 20 * ms, RequestDone: true, ActualUnits: units})
 			}
 			h.advance(ms, counter.add)
 		})
-		// The number also holds what had refilled a full bucket before the request.
+		// The total also holds what had refilled a full bucket before the request.
 		unsettled := largest(func(*harness, fakeCounter, []policy.StartAttempt) {})
 		if got := settled - unsettled + 1; got < want-1e-6 || got > want+1e-6 {
 			t.Errorf("an estimate of 1 that truly was %v took %v units of the bucket", units, got)
--- a/internal/policy/slowstart_sim_test.go
+++ b/internal/policy/slowstart_sim_test.go
@@ -18,7 +18,7 @@
 	simEndpoints     = 30
 	simCapacity      = 12.0 // requests of mean work that a warm endpoint does in a second
 	simOneWayLatency = 2 * ms
-	simMaxQueue      = 60 // requests that wait at an endpoint; more are turned away
+	simMaxQueue      = 60 // requests that wait at an endpoint; more are rejected
 	simClientTimeout = 2500 * ms
 	simUpdateSpread  = time.Second // updates reach the gateways within this
 )
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -146,7 +146,7 @@
 }
 
 // Guards endpoints that are warming up against the sum of what all gateways send them, each
-// of which sees little: in no time of the settings' length does one get more than it bears.
+// of which sees little: in no time of the settings' length does one get more than it can serve.
 func TestFleetNeverOverloadsAnEndpointWarmingUp(t *testing.T) {
 	for _, c := range slowStartCases {
 		fleets := []int{20, 30, 80, 300}
@@ -176,6 +176,6 @@
 		t.Error("no endpoint that is warming up got anything")
 	}
 	if nearest > 1 {
-		t.Errorf("an endpoint that is warming up got %.2f times what it bears", nearest)
+		t.Errorf("an endpoint that is warming up got %.2f times what it can serve", nearest)
 	}
 }
