--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -5,9 +5,10 @@
 // loadReportsByPull is the [LoadReports] channel on which reports come with health checks only.
 const loadReportsByPull = "pull"
 
-// discoveryBySubscription is the [Settings] discovery mode in which discovery sends nothing
-// unless it is subscribed to.
-const discoveryBySubscription = "ask"
+// DiscoveryPolled is the [Settings.DiscoveryMode] in which discovery is one service for the
+// fleet, which sends nothing unless it is asked: the edge node polls it, the policy
+// subscribes.
+const DiscoveryPolled = "ask"
 
 // Policy returns the settings of the policy. The seed is that of this incarnation's random
 // numbers.
@@ -17,7 +18,7 @@
 		GatewayIndex:              s.GatewayIndex,
 		Gateways:                  s.Gateways,
 		Zone:                      s.Zone,
-		MustSubscribe:             s.DiscoveryMode == discoveryBySubscription,
+		MustSubscribe:             s.DiscoveryMode == DiscoveryPolled,
 		SubscriptionTimeout:       s.Rules.SubscriptionTimeout,
 		CounterEnabled:            s.Service.CounterEnabled,
 		CounterTimeout:            s.Service.CounterTimeout,
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -57,7 +57,8 @@
 	Rate               float64 `json:"refill"`
 }
 
-// Rules holds the figures that all services have in common.
+// Rules holds the figures of the service's rules: how discovery, draining and slow start
+// behave.
 type Rules struct {
 	SubscriptionTimeout time.Duration `json:"askEvery"`
 	SlowStartCapacity   float64       `json:"coldFrom"`
--- a/internal/counterclient/client.go
+++ b/internal/counterclient/client.go
@@ -14,8 +14,8 @@
 	"swiftpitch/internal/policy"
 )
 
-// maxPendingCalls bounds the calls that are queued or await a response: beyond it a call
-// could not be answered within its timeout, so it fails at once.
+// maxPendingCalls bounds the calls that are queued or await a response; one more fails at
+// once.
 const maxPendingCalls = 512
 
 // Options is what a [Client] takes from its owner. All fields are required.
@@ -83,7 +83,8 @@
 	}
 }
 
-// Close closes the connection in use and ends all its calls.
+// Close closes the active connection and ends all calls, queued ones included. A connection
+// that drains ends by its own deadline.
 func (c *Client) Close() { c.failAll() }
 
 // pending is the number of calls that are queued or await a response on the active
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,6 +1,7 @@
 // Package discovery follows the list of endpoints that the discovery service keeps: by a
-// watch (long poll) at an agent on this machine, or by polling one service that is shared
-// by the whole fleet.
+// watch at an agent on this machine to which changes are pushed, or by polling one service
+// that is shared by the whole fleet ([config.DiscoveryPolled]). A call is a long poll in
+// both cases.
 //
 // [Client.Run] makes one call after another in one goroutine. When to call, for what and
 // with which timeout is decided by the schedule, which knows neither sockets nor a clock.
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -27,13 +27,13 @@
 
 // Instance is one endpoint of a [List].
 type Instance struct {
-	ID        string  `json:"instanceId"`
-	HostPort  string  `json:"hostPort"`    // address, as host:port
-	Zone      string  `json:"zone"`        // name of its zone
-	Cell      int     `json:"cell"`        // number of its cell
-	Lifecycle string  `json:"lifecycle"`   // Serving, Draining or Deleted
-	Weight    float64 `json:"weight"`      // share of the requests, relative to others
-	StartedAt int64   `json:"startedAtMs"` // Unix time of its last start, in milliseconds
+	ID          string  `json:"instanceId"`
+	HostPort    string  `json:"hostPort"`    // address, as host:port
+	Zone        string  `json:"zone"`        // name of its zone
+	Cell        int     `json:"cell"`        // number of its cell
+	Lifecycle   string  `json:"lifecycle"`   // Serving, Draining or Deleted
+	Weight      float64 `json:"weight"`      // share of the requests, relative to others
+	StartedAtMS int64   `json:"startedAtMs"` // Unix time of its last start, in milliseconds
 }
 
 // decodeList reads the JSON form of a list.
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -11,9 +11,9 @@
 // call that fails, on the wait after it and on the next call has to fit.
 const NotificationDeadline = 6 * time.Second
 
-// The durations of a watch, where discovery pushes its news. They are with an agent on this
-// machine, whose responses cost nothing, and the node counts as notified from then on, with
-// or without a watch. So a new process calls at once, and after a failed call the wait is a
+// The durations of a watch, where discovery pushes changes to an agent on this machine. The
+// agent's responses cost nothing, and a change counts as notified once the agent has it,
+// with or without a watch. So a new process calls at once, and after a failed call the wait is a
 // part of the drain grace, for which an endpoint that drains may still get requests.
 const (
 	// WatchLongPollWait is how long the agent may hold a watch.
@@ -55,15 +55,15 @@
 	// PollResponseAllowance is what the waits leave of NotificationDeadline for a response,
 	// its way and its use.
 	PollResponseAllowance = 1800 * time.Millisecond
-	// pollTimeout is when a call is given up, which is later than PollResponseAllowance: no
-	// interval is longer for it, the service works on the call all the same, and early in a
-	// jitter window there is time for a longer queue.
+	// pollTimeout is when a call is given up. It is longer than PollResponseAllowance, and
+	// makes no poll interval longer. Giving up earlier would save nothing, as the service
+	// works on the call anyway, and early in a jitter window there is time for a longer queue.
 	pollTimeout = 2500 * time.Millisecond
 
-	// maxPollWait is the longest that a call is held. Calls that fall silent together
-	// are found so at different times, as each is held for a random time: to renew a call
+	// pollLongPollWait is the longest that a call is held. Each is held for a random time, so
+	// that calls that fall silent together are found so at different times; to renew a call
 	// that was held costs the service nothing.
-	maxPollWait = 2 * time.Second
+	pollLongPollWait = 2 * time.Second
 	// MinLongPollWaitFraction is the shortest, as a fraction of the longest.
 	MinLongPollWaitFraction = 0.2
 	// pollSilenceMargin is how long past its long-poll wait a call counts as silent.
@@ -90,7 +90,7 @@
 
 // NewTiming returns the durations for the settings of a node.
 func NewTiming(settings *config.Settings) Timing {
-	if settings.DiscoveryMode == "ask" {
+	if settings.DiscoveryMode == config.DiscoveryPolled {
 		return newPollTiming(settings.Gateways)
 	}
 	return newWatchTiming(settings.Rules.DrainGrace)
@@ -100,7 +100,7 @@
 	window := min(time.Duration(gateways)*jitterWindowPerNode, MaxJitterWindow)
 	return Timing{
 		Polled:        true,
-		LongPollWait:  maxPollWait,
+		LongPollWait:  pollLongPollWait,
 		SilenceMargin: pollSilenceMargin,
 		CallTimeout:   pollTimeout,
 		JitterWindow:  window,
--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -113,10 +113,10 @@
 	return text
 }
 
-// withinDedupWindow reports whether an attempt may still be written where its connection
-// came up late: endpoints drop a retry with a known idempotency key only within the
-// dedup window of an earlier attempt that may have run, so none is written after it. The
-// policy looks at the window when it chooses the endpoint.
+// withinDedupWindow reports whether a retry with an idempotency key may still be written.
+// Endpoints drop a duplicate only within the dedup window of an earlier attempt that may
+// have run. The policy looks at the window when it chooses the endpoint, but the dial may
+// have taken longer since. It is always true without a key.
 func (a *attempt) withinDedupWindow(now time.Time) bool {
 	r := a.request
 	if r.dedupWindow <= 0 {
--- a/internal/edge/discovery.go
+++ b/internal/edge/discovery.go
@@ -20,14 +20,14 @@
 // ChangeAddresses moves the node to new addresses of discovery and the counter. Responses
 // that the previous ones still owe count. An empty counter address leaves that one as it
 // is. It may be called from any goroutine.
-func (n *Node) ChangeAddresses(discovery, counter string) {
+func (n *Node) ChangeAddresses(discoveryAddress, counterAddress string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
 		return
 	}
-	n.discovery.ChangeAddress(discovery)
-	if n.counter != nil && counter != "" {
-		n.counter.ChangeAddress(counter)
+	n.discovery.ChangeAddress(discoveryAddress)
+	if n.counter != nil && counterAddress != "" {
+		n.counter.ChangeAddress(counterAddress)
 	}
 }
--- a/internal/edge/doc.go
+++ b/internal/edge/doc.go
@@ -4,7 +4,7 @@
 // A [Node] turns what happens on the sockets into the events of [policy.Gateway] and
 // executes the actions that come back. One lock, Node.mu, guards all that the policy's
 // decisions touch: the policy itself, the open requests with their attempts, the connection
-// pool, and the clients of the counter and of discovery, which are given the lock. An event
+// pool, and the state of the counter client and the discovery client, which share it. An event
 // is dispatched under it, and nothing that blocks is done while it is held. The clients'
 // connections have a lock of their own, see [frontend.Tracker].
 //
--- a/internal/edge/endpoints.go
+++ b/internal/edge/endpoints.go
@@ -43,7 +43,7 @@
 		}
 		endpoints = append(endpoints, n.policyEndpoint(instance, state))
 		n.pool.UpdateEndpoint(upstream.EndpointUpdate{ID: instance.ID, Addr: instance.HostPort,
-			StartedAtMS: instance.StartedAt, State: state}, now)
+			StartedAtMS: instance.StartedAtMS, State: state}, now)
 	}
 	endpoints = append(endpoints, n.removeUnlisted(listed, scope, now)...)
 	n.dispatch(policy.EndpointsUpdated{Scope: scope, Endpoints: endpoints})
@@ -56,7 +56,7 @@
 		Zone:      slices.Index(n.cfg.Settings.Zones, instance.Zone),
 		Cell:      instance.Cell,
 		Weight:    instance.Weight,
-		StartedAt: policy.Time(instance.StartedAt) * policy.Time(time.Millisecond),
+		StartedAt: policy.Time(instance.StartedAtMS) * policy.Time(time.Millisecond),
 		State:     state,
 	}
 }
--- a/internal/edge/handler.go
+++ b/internal/edge/handler.go
@@ -11,10 +11,10 @@
 const (
 	// readyPath is where the front and the deployment ask whether this node takes requests.
 	readyPath = "/-/ready"
-	// minReservedBody is the length, in bytes, past which a body takes part in the memory
-	// budget. Shorter ones do not: declared and not sent, long ones must not keep out the
-	// usual ones.
-	minReservedBody = 4 << 10
+	// maxUnreservedBody is the longest body, in bytes, that does not count against the memory
+	// budget, so that long bodies that are declared and never sent cannot keep out ordinary
+	// requests.
+	maxUnreservedBody = 4 << 10
 )
 
 // errDuplicateID tells that a client reuses the id of a request that is still open.
@@ -62,7 +62,7 @@
 
 // bodyReservation returns how much of the memory budget a body takes.
 func bodyReservation(length int64) int64 {
-	if length <= minReservedBody || length > frontend.MaxBodyBytes { // longer ones are not read
+	if length <= maxUnreservedBody || length > frontend.MaxBodyBytes { // longer ones are not read
 		return 0
 	}
 	return length
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -30,7 +30,7 @@
 	id               string
 	forwardHead      []byte // the forwarded head up to the deadline's value
 	body             []byte
-	conn             *frontend.Conn // nil: not of a listener
+	conn             *frontend.Conn // nil if it did not come through a listener
 	receivedAt       time.Time      // when its last byte was read
 	deadline         time.Time
 	dedupWindow      time.Duration // for which repeats are dropped; 0: the class has no key
@@ -49,7 +49,8 @@
 	retryAfter  time.Duration
 }
 
-// newRequest returns a request that was read from a connection; nil: not of a listener.
+// newRequest returns a request that was read from conn, which is nil if the request did not
+// come through a [frontend.Listener].
 func newRequest(parsed *frontend.Request, conn *frontend.Conn) *request {
 	return &request{
 		id:          parsed.Event.RequestID,
@@ -100,7 +101,8 @@
 }
 
 // detectDisconnect looks, before an attempt of a request that has waited, whether its client
-// has disconnected: who reads its connection may not have got round to that. The lock is held.
+// has disconnected: the goroutine that reads the connection may not have been scheduled yet.
+// The lock is held.
 func (n *Node) detectDisconnect(r *request, now time.Time) {
 	if r.conn != nil && !r.answered && now.Sub(r.receivedAt) > disconnectCheckAge && r.conn.DetectDisconnect() {
 		n.clientDisconnectedLocked(r)
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -134,8 +134,9 @@
 	c.busy = true
 	c.nextBegun = false
 	if c.tracker.draining || c.readAhead.Load() != nil {
-		// StopReading may have set a deadline, or the library for the request's head: it
-		// would pass for a client that disconnected, or end the watch for that.
+		// StopReading, or the library while it read the head, may have set a read deadline.
+		// When it passed, the read would fail as if the client had disconnected, or the
+		// read-ahead would stop.
 		c.SetReadDeadline(time.Time{})
 	}
 	return true
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -12,8 +12,8 @@
 	// maxHeaderBytes is the most bytes of a request's head.
 	maxHeaderBytes = 16 << 10
 	// readHeaderTimeout is the time for a request's head, from the start of its connection
-	// or from its first bytes on. Malformed clients are owed an end within 3 s, and a silent
-	// connection 2 s of patience.
+	// or from its first bytes on. A client that sends a malformed or incomplete request must
+	// get an end within 3 s; a silent connection must be kept for 2 s.
 	readHeaderTimeout = 2200 * time.Millisecond
 	// ReadTimeout is the time for a whole request, counted like that for its head.
 	ReadTimeout = 2700 * time.Millisecond
@@ -65,7 +65,8 @@
 func (s *Server) Serve() error { return s.http.Serve(s.listener) }
 
 // StartDraining closes the idle connections, now and as they become idle. Those with a
-// request in flight close after its response. New connections are still accepted.
+// request in flight close after its response if the handler sets Connection: close, as it
+// must where [Tracker.Draining] reports true. New connections are still accepted.
 func (s *Server) StartDraining() { s.tracker.startDraining() }
 
 // StopAccepting sets when Serve stops accepting connections and returns.
--- a/internal/frontend/tracker.go
+++ b/internal/frontend/tracker.go
@@ -14,7 +14,7 @@
 const unprovenIdleFactor = 8
 
 // Tracker knows the open connections of clients. It holds their number to a limit, and
-// closes those without a request when the node drains. It has a lock of its own; its
+// closes the idle ones when the node drains. It has a lock of its own; its
 // methods may be called from any goroutine.
 type Tracker struct {
 	maxConns int
--- a/internal/socket/peek.go
+++ b/internal/socket/peek.go
@@ -1,5 +1,5 @@
 // Package socket looks at the state of a connection's peer without reading from
-// the connection. The listener asks whether a client has disconnected, the upstream
+// the connection. The front end asks whether a client has disconnected, the upstream
 // connection pool whether an idle connection is still good.
 //
 // The package keeps no state; its functions may be called from any goroutine.
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -9,7 +9,8 @@
 // and all their methods are called with it held; none of them blocks.
 // [Conn.Exchange] blocks and is called without that lock, by the one goroutine that
 // owns the connection between [Pool.Acquire] (or [NewConn]) and [Pool.Release] or
-// [Pool.Evict].
+// [Pool.Evict]. [Conn.Close] may be called by anyone to end an exchange; the owner still
+// evicts the connection.
 //
 // # Life of a connection
 //
