--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -13,6 +13,10 @@
 	"swiftpitch/internal/policy"
 )
 
+// MaxBodyBytes is the largest body of a request or of a response, in bytes. Longer ones are
+// not passed on.
+const MaxBodyBytes = 64 << 10
+
 // Settings is the settings object. Keys that neither program has a use for are left out and
 // ignored. On the wire and in the file durations are nanoseconds.
 type Settings struct {
--- a/internal/frontend/readahead.go
+++ b/internal/frontend/readahead.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// maxReadAhead is how many bytes may be read ahead of a client that sends more than
+	// MaxReadAheadBytes is how many bytes may be read ahead of a client that sends more than
 	// the request in flight: one whole further request. Past that, its disconnecting is
 	// not seen before some of them are consumed.
-	maxReadAhead = maxHeaderBytes + MaxBodyBytes
-	// readAheadChunk is how many bytes are read at a time. The first chunk needs no share
+	MaxReadAheadBytes = maxHeaderBytes + MaxBodyBytes
+	// ReadAheadChunkBytes is how many bytes are read at a time. The first chunk needs no share
 	// of the memory budget: a stray line end, or a usual request.
-	readAheadChunk = 512
+	ReadAheadChunkBytes = 512
 )
 
 // readAhead reads a connection whose client sends while its request is in flight: only
@@ -50,7 +50,7 @@
 // run fills the buffer. It ends with the connection, which its owner closes.
 func (a *readAhead) run() {
 	defer close(a.disconnected)
-	var chunk [readAheadChunk]byte
+	var chunk [ReadAheadChunkBytes]byte
 	for {
 		size, version, ok := a.awaitCapacity()
 		if !ok {
@@ -71,19 +71,19 @@
 	for !a.closed && (a.timedOut || !a.reserve()) {
 		a.changed.Wait()
 	}
-	return min(readAheadChunk, maxReadAhead-len(a.buffer)), a.deadlineVersion, !a.closed
+	return min(ReadAheadChunkBytes, MaxReadAheadBytes-len(a.buffer)), a.deadlineVersion, !a.closed
 }
 
 // reserve takes the memory for what is kept and reports whether another chunk may be read.
 // The lock is held.
 func (a *readAhead) reserve() bool {
 	for int64(len(a.buffer)) > a.reserved {
-		if !a.memory.Reserve(readAheadChunk) {
+		if !a.memory.Reserve(ReadAheadChunkBytes) {
 			return false
 		}
-		a.reserved += readAheadChunk
+		a.reserved += ReadAheadChunkBytes
 	}
-	return len(a.buffer) < maxReadAhead
+	return len(a.buffer) < MaxReadAheadBytes
 }
 
 // store keeps the result of one read and reports whether the connection can be read on.
--- a/internal/frontend/readahead_test.go
+++ b/internal/frontend/readahead_test.go
@@ -42,11 +42,11 @@
 	}{
 		{0, 0, 0, true},
 		{1, 0, 0, false},
-		{1, 0, readAheadChunk, true},
-		{readAheadChunk, readAheadChunk, 0, true},
-		{readAheadChunk + 1, readAheadChunk, 0, false},
-		{maxReadAhead - 1, 0, maxReadAhead, true},
-		{maxReadAhead, 0, 2 * maxReadAhead, false},
+		{1, 0, ReadAheadChunkBytes, true},
+		{ReadAheadChunkBytes, ReadAheadChunkBytes, 0, true},
+		{ReadAheadChunkBytes + 1, ReadAheadChunkBytes, 0, false},
+		{MaxReadAheadBytes - 1, 0, MaxReadAheadBytes, true},
+		{MaxReadAheadBytes, 0, 2 * MaxReadAheadBytes, false},
 	} {
 		memory := NewMemoryBudget(int64(c.free))
 		a := &readAhead{memory: memory, buffer: make([]byte, c.buffered), reserved: int64(c.reserved)}
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -14,7 +14,7 @@
 
 const (
 	// MaxBodyBytes is the most bytes of a request's body.
-	MaxBodyBytes = 64 << 10
+	MaxBodyBytes = config.MaxBodyBytes
 	// maxIdempotencyKeyBytes is the most bytes of an Idempotency-Key.
 	maxIdempotencyKeyBytes = 256
 	// tenantBits is how many bits a tenant's number has, in a field of 16 hexadecimal digits.
--- a/internal/frontend/tracker.go
+++ b/internal/frontend/tracker.go
@@ -37,6 +37,7 @@
 	MaxConns       int // how many may be open
 	Open           int
 	Idle           int // answered, and nothing of the next request was read
+	Proven         int // that have sent a whole request
 	ReadAhead      int // whose clients sent beyond a request in flight
 	ReadAheadBytes int // that those sent, and that are not yet consumed
 }
@@ -50,6 +51,9 @@
 		if c.idle {
 			stats.Idle++
 		}
+		if c.proven {
+			stats.Proven++
+		}
 		if ahead := c.readAhead.Load(); ahead != nil {
 			stats.ReadAhead++
 			stats.ReadAheadBytes += ahead.buffered()
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -6,6 +6,7 @@
 	"net"
 	"net/http"
 
+	"swiftpitch/internal/config"
 	"swiftpitch/internal/decimal"
 	"swiftpitch/internal/policy"
 )
@@ -14,9 +15,8 @@
 	// maxResponseHeadBytes bounds a response's head and framing in bytes, interim
 	// responses included.
 	maxResponseHeadBytes = 32 << 10
-	// maxBodyBytes bounds a response's body in bytes; longer ones are not passed on. The
-	// same bound holds for the bodies of requests.
-	maxBodyBytes = 64 << 10
+	// maxBodyBytes bounds a response's body in bytes.
+	maxBodyBytes = config.MaxBodyBytes
 	// maxInterimResponses bounds the 1xx responses ahead of the final one.
 	maxInterimResponses = 8
 )
