--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -13,6 +13,10 @@
 	"swiftpitch/internal/policy"
 )
 
+// MaxBodyBytes is the largest body of a request or of a response, in bytes. Longer ones are
+// not passed on.
+const MaxBodyBytes = 64 << 10
+
 // Settings is the settings object. Keys that neither program has a use for are left out and
 // ignored. On the wire and in the file durations are nanoseconds.
 type Settings struct {
@@ -57,7 +61,8 @@
 	Rate               float64 `json:"refill"`
 }
 
-// Rules holds the figures that all services have in common.
+// Rules holds the figures of the service's rules: how discovery, draining and slow start
+// behave.
 type Rules struct {
 	SubscriptionTimeout time.Duration `json:"askEvery"`
 	SlowStartCapacity   float64       `json:"coldFrom"`
