--- a/internal/edge/attempt_test.go
+++ b/internal/edge/attempt_test.go
@@ -116,10 +116,10 @@
 	testsupport.Eventually(t, "a request for the endpoint that broke a connection", func() bool { return len(a.Requests()) > 41 })
 }
 
-// TestThirdRequestBesideTwo guards requests against being rejected for a queue that does
+// TestThirdConcurrentRequest guards requests against being rejected for a queue that does
 // not exist: nothing is known yet of an endpoint's speed, and it gets a third request
 // beside two.
-func TestThirdRequestBesideTwo(t *testing.T) {
+func TestThirdConcurrentRequest(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
@@ -139,7 +139,7 @@
 	units chan float64
 }
 
-// Step implements module.
+// Step implements policyGateway.
 func (c actualUnitsRecorder) Step(now policy.Time, ev policy.Event, out []policy.Action) []policy.Action {
 	if e, ok := ev.(policy.AttemptEnded); ok {
 		c.units <- e.ActualUnits
--- a/internal/edge/counter_test.go
+++ b/internal/edge/counter_test.go
@@ -95,7 +95,7 @@
 
 // Guards the totals: a response that comes after its call's timeout is dropped, and is not
 // taken for the response to the next call.
-func TestCounterLateAnswer(t *testing.T) {
+func TestCounterLateResponse(t *testing.T) {
 	release := make(chan struct{})
 	calls := 0
 	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
@@ -159,7 +159,7 @@
 
 // Guards the calls after a counter's machine has vanished: a connection that owes responses
 // for long is closed, and the next calls go over a new one.
-func TestCounterSilence(t *testing.T) {
+func TestUnresponsiveCounter(t *testing.T) {
 	ln := testsupport.Listen(t)
 	first := true
 	go func() {
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -118,9 +118,9 @@
 	cfg := testConfig(t)
 	cfg.Settings.Limits.AllowCancel = false // the attempt stays in flight when its client disconnects
 	h := startNode(t, cfg, a.Addr, b.Addr)
-	ended := make(chan policy.Outcome, 8)
+	outcomes := make(chan policy.Outcome, 8)
 	h.node.mu.Lock()
-	h.node.gateway = outcomeRecorder{policyGateway: h.node.gateway, got: ended}
+	h.node.gateway = outcomeRecorder{policyGateway: h.node.gateway, outcomes: outcomes}
 	h.node.mu.Unlock()
 	c := h.dial()
 	io.WriteString(c, clientRequest("lookup", "00000000000000aa"))
@@ -128,8 +128,8 @@
 	c.Close()
 	awaitAllAnswered(h)
 	close(release)
-	if o := <-ended; o != policy.Overloaded {
-		t.Errorf("the attempt ends as %d", o)
+	if outcome := <-outcomes; outcome != policy.Overloaded {
+		t.Errorf("the attempt ends as %d", outcome)
 	}
 	if got := append(a.Requests(), b.Requests()...); len(got) != 1 {
 		t.Errorf("endpoints got %q", got)
@@ -140,18 +140,18 @@
 // -1 for each attempt that it starts then.
 type outcomeRecorder struct {
 	policyGateway
-	got chan policy.Outcome
+	outcomes chan policy.Outcome
 }
 
-func (m outcomeRecorder) Step(now policy.Time, ev policy.Event, out []policy.Action) []policy.Action {
-	out = m.policyGateway.Step(now, ev, out)
-	if e, ok := ev.(policy.AttemptEnded); ok {
+func (r outcomeRecorder) Step(now policy.Time, event policy.Event, out []policy.Action) []policy.Action {
+	out = r.policyGateway.Step(now, event, out)
+	if ended, ok := event.(policy.AttemptEnded); ok {
 		for _, a := range out {
 			if _, ok := a.(policy.StartAttempt); ok {
-				m.got <- -1
+				r.outcomes <- -1
 			}
 		}
-		m.got <- e.Outcome
+		r.outcomes <- ended.Outcome
 	}
 	return out
 }
@@ -161,12 +161,15 @@
 
 // Guards endpoints against work that nobody waits for: the client has sent more than its
 // request, at which the library's own watch stops, and then disconnects.
-func TestClientDisconnectsAfterSendingMore(t *testing.T) {
+func TestClientDisconnectsAfterPipelinedBytes(t *testing.T) {
 	next := clientRequest("lookup", "00000000000000cc")
 	ends := map[string]func(*net.TCPConn){
-		"close":          func(c *net.TCPConn) { c.Close() },
-		"reset":          func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
-		"end of sending": func(c *net.TCPConn) { c.CloseWrite() },
+		"close": func(c *net.TCPConn) { c.Close() },
+		"reset": func(c *net.TCPConn) {
+			c.SetLinger(0)
+			c.Close()
+		},
+		"half-close": func(c *net.TCPConn) { c.CloseWrite() },
 	}
 	for extra, text := range map[string]string{"a line's end": "\r\n", "a byte": "G", "half a request": next[:40],
 		"a request": next, "more than fits one read": strings.Repeat(next, 20)} {
@@ -272,7 +275,7 @@
 // Guards endpoints against work that nobody waits for where this process was stalled: the
 // client has closed its connection, and who reads that has not got round to it when the
 // attempt of a request that has waited would be written, or when the request is received.
-func TestClientDisconnectedUnseen(t *testing.T) {
+func TestUnreadDisconnect(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	_, conn := h.disconnectedClient()
@@ -321,9 +324,9 @@
 	testsupport.Eventually(t, "the end of the request", func() bool { return h.openRequests() == 0 })
 }
 
-// Guards against a response that no endpoint gave: a client that ends its sending counts as
+// Guards against a response that no endpoint gave: a client that half-closes its connection counts as
 // disconnected, and reads the end of the connection and nothing else.
-func TestClientEndsSending(t *testing.T) {
+func TestClientHalfCloses(t *testing.T) {
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
 	endpoint := testsupport.StartFakeEndpoint(t, func(net.Conn, *http.Request, []byte) bool {
--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -150,7 +150,7 @@
 
 // Guards against forwarding to a process under another one's id: a new endpoint at the
 // address of one still listed takes its place, and gets connections of its own.
-func TestAddressTakenOver(t *testing.T) {
+func TestEndpointTakesOverAddress(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	h.dial().roundTrip(clientRequest("merge", "00000000000000aa"))
@@ -312,7 +312,7 @@
 // Guards drains where discovery is one service that a large fleet polls: calls that fall
 // silent together are found so one after another, and each node waits no longer than leaves
 // the next call its time until what it misses counts as notified.
-func TestPolledCallsThatFallSilentTogether(t *testing.T) {
+func TestUnresponsivePollsAreStaggered(t *testing.T) {
 	const fleet = 12
 	holds := map[int]bool{}
 	for seed := range uint64(fleet) {
@@ -375,7 +375,7 @@
 
 // Guards a process that starts with no endpoint known and with discovery down: it is not
 // ready before it has a list, and is ready once it has.
-func TestReadyWithTheFirstList(t *testing.T) {
+func TestReadyAfterFirstList(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		var up atomic.Bool
 		calls := make(chan string, 1024)
--- a/internal/edge/handler_test.go
+++ b/internal/edge/handler_test.go
@@ -57,7 +57,7 @@
 
 // Guards against malformed requests: they are answered 400 and nothing of them reaches an
 // endpoint.
-func TestMalformed(t *testing.T) {
+func TestMalformedRequests(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	for name, text := range malformedRequests {
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -46,7 +46,7 @@
 }
 
 // Guards the descriptors that connections to neither clients nor endpoints may take, also where there are few.
-func TestDescriptorsAreKept(t *testing.T) {
+func TestReservedDescriptors(t *testing.T) {
 	for _, sockets := range []int{24, 40, 64, 99, 256, 1024} {
 		cfg := testConfig(t)
 		cfg.Sockets = sockets
--- a/internal/edge/readahead_test.go
+++ b/internal/edge/readahead_test.go
@@ -21,16 +21,10 @@
 	})
 }
 
-// Bytes of the read-ahead in internal/frontend.
-const (
-	readAheadChunk = 512                            // read at a time
-	maxReadAhead   = 16<<10 + frontend.MaxBodyBytes // kept at most: one whole request
-)
-
 // Guards what a client sends while its request is in flight: it is kept in its order, up
 // to a bound and to what the memory budget allows, and served once its turn comes.
 func TestBytesReadAheadAreKept(t *testing.T) {
-	for name, memory := range map[string]int64{"memory for all": 1 << 20, "little memory": 2 * readAheadChunk} {
+	for name, memory := range map[string]int64{"memory for all": 1 << 20, "little memory": 2 * frontend.ReadAheadChunkBytes} {
 		t.Run(name, func(t *testing.T) { testBytesReadAhead(t, memory) })
 	}
 }
@@ -51,15 +45,15 @@
 	c := h.dial()
 	io.WriteString(c, clientRequest("lookup", numberedID(0)))
 	testsupport.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
-	text, count := numberedRequests(2 * maxReadAhead)
+	text, count := numberedRequests(2 * frontend.MaxReadAheadBytes)
 	wrote := make(chan error, 1)
 	go func() {
 		_, err := io.WriteString(c, text)
 		wrote <- err
 	}()
-	awaitReadAhead(h, int(min(memory, maxReadAhead)))
-	if left := h.node.memory.Free(); left < 0 || left > max(memory-maxReadAhead+2*readAheadChunk, 0) {
-		t.Errorf("%d of %d bytes are left while %d are kept", left, memory, maxReadAhead)
+	awaitReadAhead(h, int(min(memory, frontend.MaxReadAheadBytes)))
+	if left := h.node.memory.Free(); left < 0 || left > max(memory-frontend.MaxReadAheadBytes+2*frontend.ReadAheadChunkBytes, 0) {
+		t.Errorf("%d of %d bytes are left while %d are kept", left, memory, frontend.MaxReadAheadBytes)
 	}
 	close(release)
 	if resp, body := c.readResponse(); resp.StatusCode != http.StatusOK || body != numberedID(0) {
@@ -98,7 +92,7 @@
 
 // Guards a begun request that was read ahead when the shutdown begins: its connection is not
 // idle, and the request is served.
-func TestShutdownCrossesBytesReadAhead(t *testing.T) {
+func TestShutdownServesBytesReadAhead(t *testing.T) {
 	release := make(chan struct{})
 	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		<-release
--- a/internal/edge/request_test.go
+++ b/internal/edge/request_test.go
@@ -16,7 +16,7 @@
 // Guards the plain path of a request: each kind of class is forwarded unchanged, with the
 // remaining time, and the endpoint's body comes back unchanged, many times over one client
 // connection.
-func TestServes(t *testing.T) {
+func TestForwardsRequests(t *testing.T) {
 	var mu sync.Mutex
 	heads := map[string]http.Header{}
 	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
@@ -61,7 +61,7 @@
 
 // Guards the one answer of an open request: another of the same id is malformed
 // and does not touch it.
-func TestSameID(t *testing.T) {
+func TestDuplicateRequestID(t *testing.T) {
 	release := make(chan struct{})
 	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		<-release
@@ -101,47 +101,47 @@
 
 // Guards against running a request twice: after a reset one that is not idempotent may have
 // run, so it is neither retried nor rejected; an idempotent one is retried elsewhere.
-func TestReset(t *testing.T) {
+func TestConnectionReset(t *testing.T) {
 	reset := func(c net.Conn, _ *http.Request, _ []byte) bool { return false }
 	a, b := testsupport.StartFakeEndpoint(t, reset), testsupport.StartFakeEndpoint(t, reset)
 	h := startNode(t, testConfig(t), a.Addr, b.Addr)
 	if resp, _ := h.dial().roundTrip(clientRequest("merge", "00000000000000aa")); resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("unsafe: status %d", resp.StatusCode)
+		t.Errorf("not idempotent: status %d", resp.StatusCode)
 	}
 	if got := append(a.Requests(), b.Requests()...); len(got) != 1 {
-		t.Errorf("unsafe: endpoints got %q", got)
+		t.Errorf("not idempotent: endpoints got %q", got)
 	}
 	h.dial().roundTrip(clientRequest("lookup", "00000000000000bb"))
 	if got := append(a.Requests(), b.Requests()...); len(got) != 3 {
-		t.Errorf("harmless: endpoints got %q", got)
+		t.Errorf("idempotent: endpoints got %q", got)
 	}
 }
 
 // Guards requests against being rejected for faults that all endpoints share: once
 // connections have broken everywhere, requests are still forwarded, and the endpoints can
 // show that they serve.
-func TestBreaksEverywhere(t *testing.T) {
-	const breaks = 8
-	var met atomic.Int32
+func TestConnectionsLostEverywhere(t *testing.T) {
+	const lostConnections = 8
+	var received atomic.Int32
 	serve := func(c net.Conn, req *http.Request, body []byte) bool {
-		return met.Add(1) > breaks && testsupport.RespondOK(c, req, body)
+		return received.Add(1) > lostConnections && testsupport.RespondOK(c, req, body)
 	}
 	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, serve).Addr, testsupport.StartFakeEndpoint(t, serve).Addr)
 	c := h.dial()
-	for i := 0; i < breaks && met.Load() < breaks; i++ { // two attempts each at most
+	for i := 0; i < lostConnections && received.Load() < lostConnections; i++ { // two attempts each at most
 		c.roundTrip(clientRequest("lookup", fmt.Sprintf("%016x", i+1)))
 	}
 	for i := range 5 {
 		resp, _ := c.roundTrip(clientRequest("lookup", fmt.Sprintf("%016x", 100+i)))
 		if resp.StatusCode != http.StatusOK {
-			t.Errorf("request %d after %d breaks: status %d", i, met.Load(), resp.StatusCode)
+			t.Errorf("request %d after %d attempts: status %d", i, received.Load(), resp.StatusCode)
 		}
 	}
 }
 
 // Guards the deadline: an endpoint that does not respond does not keep the client waiting
 // past it.
-func TestSilentServer(t *testing.T) {
+func TestUnresponsiveEndpoint(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, func(net.Conn, *http.Request, []byte) bool { return true })
 	cfg := testConfig(t)
 	for i := range cfg.Settings.Classes {
--- a/internal/edge/shutdown_test.go
+++ b/internal/edge/shutdown_test.go
@@ -54,7 +54,7 @@
 
 // Guards a request that comes in two parts with the end of the listener between them:
 // it is read to its end and served.
-func TestShutdownReadsRequestsOnTheirWay(t *testing.T) {
+func TestShutdownReadsPartialRequests(t *testing.T) {
 	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
 	h.node.phases.read, h.node.phases.answer = testsupport.MaxWait, testsupport.MaxWait
 	text := clientRequest("merge", "00000000000000aa")
@@ -82,7 +82,7 @@
 
 // Guards a request of which the first byte has been read on a kept connection when the
 // shutdown begins: the connection is not idle any more, and the request is served.
-func TestShutdownCrossesARequestBegun(t *testing.T) {
+func TestShutdownServesRequestBegun(t *testing.T) {
 	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
 	h.node.phases.read, h.node.phases.answer = testsupport.MaxWait, testsupport.MaxWait
 	c := h.dial()
@@ -101,7 +101,7 @@
 
 // Guards against half a request when this side closes a connection that carries one: what was
 // read before the close is dropped. That nothing more is read is tested in internal/frontend.
-func TestCloseCrossesARequest(t *testing.T) {
+func TestEvictionDropsRequest(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	tracker := frontend.NewTracker(1, frontend.NewMemoryBudget(0))
--- a/internal/frontend/conn_test.go
+++ b/internal/frontend/conn_test.go
@@ -16,7 +16,7 @@
 
 // Guards against half a request on a connection that this side has closed: what was still
 // read from it is dropped.
-func TestShutConnReadsNothing(t *testing.T) {
+func TestClosedConnReadsNothing(t *testing.T) {
 	shut := newConn(readsText{text: "GET / HTTP/1.1\r\n"}, NewTracker(1, NewMemoryBudget(testMemory)))
 	shut.shut = true
 	if n, err := shut.Read(make([]byte, 10)); n != 0 || err != io.EOF {
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards the connections that wait at the listener when it ends: they are accepted.
-func TestListenerAcceptsWhatWaits(t *testing.T) {
+func TestListenerDrainsBacklog(t *testing.T) {
 	listener := testsupport.Listen(t)
 	l := NewListener(listener, NewTracker(1, NewMemoryBudget(testMemory)))
 	c, err := net.Dial("tcp", listener.Addr().String()) // the kernel accepts it
--- a/internal/frontend/readahead_test.go
+++ b/internal/frontend/readahead_test.go
@@ -80,7 +80,7 @@
 
 // Guards the watch for a client's disconnecting against a deadline that is lifted while the
 // read that met it returns, as the library does at the end of each request.
-func TestReadAheadDeadlineIsLiftedMeanwhile(t *testing.T) {
+func TestReadAheadDeadlineLiftedDuringRead(t *testing.T) {
 	c := scriptedConn{reads: make(chan struct{}), results: make(chan error)}
 	a := newReadAhead(c, NewMemoryBudget(testMemory), make(chan struct{}))
 	testsupport.Receive(t, "the read", c.reads)
--- a/internal/frontend/tracker_test.go
+++ b/internal/frontend/tracker_test.go
@@ -12,7 +12,7 @@
 
 // Guards a connection on which something of the next request was read while one was in
 // flight: it is not idle afterwards, and is not closed for that when the node drains.
-func TestBegunConnectionIsNotIdle(t *testing.T) {
+func TestConnWithBegunRequestIsNotIdle(t *testing.T) {
 	for _, draining := range []bool{false, true} {
 		here, there := net.Pipe()
 		defer there.Close()
