--- a/internal/edge/attempt_test.go
+++ b/internal/edge/attempt_test.go
@@ -91,10 +91,7 @@
 	a := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		return !broken.Load() && testsupport.RespondOK(c, req, body)
 	})
-	b := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
-		<-release
-		return testsupport.RespondOK(c, req, body)
-	})
+	b := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	h := startNode(t, testConfig(t), a.Addr)
 	c := h.dial()
 	for i := range 40 { // the usual latency is learnt from these
@@ -122,10 +119,7 @@
 func TestThirdConcurrentRequest(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
-		<-release
-		return testsupport.RespondOK(c, req, body)
-	})
+	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	for i := range 3 {
 		io.WriteString(h.dial(), clientRequest("merge", fmt.Sprintf("%016x", i+1)))
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -106,32 +106,41 @@
 	}
 }
 
+// neverRanResponse is the response of an endpoint that did not run a request.
+const neverRanResponse = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
+
+// startNodeWithoutCancel runs a node that may not cancel attempts: one stays in flight when its
+// client disconnects. Its two endpoints respond, once release is closed, that they did not run a
+// request; requests returns those that either of them got.
+func startNodeWithoutCancel(t *testing.T, release <-chan struct{}) (h *harness, requests func() []string) {
+	t.Helper()
+	respond := testsupport.RespondAfter(release, testsupport.RespondWith(neverRanResponse))
+	a, b := testsupport.StartFakeEndpoint(t, respond), testsupport.StartFakeEndpoint(t, respond)
+	cfg := testConfig(t)
+	cfg.Settings.Limits.AllowCancel = false
+	h = startNode(t, cfg, a.Addr, b.Addr)
+	return h, func() []string { return append(a.Requests(), b.Requests()...) }
+}
+
 // Guards endpoints against work that nobody waits for: an attempt ends in a way that calls
 // for a retry, and its client has disconnected.
 func TestClientDisconnectsBeforeARetry(t *testing.T) {
 	release := make(chan struct{})
-	serve := func(c net.Conn, req *http.Request, body []byte) bool {
-		<-release
-		return testsupport.RespondWith(neverRanResponse)(c, req, body)
-	}
-	a, b := testsupport.StartFakeEndpoint(t, serve), testsupport.StartFakeEndpoint(t, serve)
-	cfg := testConfig(t)
-	cfg.Settings.Limits.AllowCancel = false // the attempt stays in flight when its client disconnects
-	h := startNode(t, cfg, a.Addr, b.Addr)
+	h, requests := startNodeWithoutCancel(t, release)
 	outcomes := make(chan policy.Outcome, 8)
 	h.node.mu.Lock()
 	h.node.gateway = outcomeRecorder{policyGateway: h.node.gateway, outcomes: outcomes}
 	h.node.mu.Unlock()
 	c := h.dial()
 	io.WriteString(c, clientRequest("lookup", "00000000000000aa"))
-	testsupport.Eventually(t, "the attempt", func() bool { return len(a.Requests())+len(b.Requests()) == 1 })
+	testsupport.Eventually(t, "the attempt", func() bool { return len(requests()) == 1 })
 	c.Close()
 	awaitAllAnswered(h)
 	close(release)
 	if outcome := <-outcomes; outcome != policy.Overloaded {
 		t.Errorf("the attempt ends as %d", outcome)
 	}
-	if got := append(a.Requests(), b.Requests()...); len(got) != 1 {
+	if got := requests(); len(got) != 1 {
 		t.Errorf("endpoints got %q", got)
 	}
 }
@@ -156,9 +165,6 @@
 	return out
 }
 
-// neverRanResponse is the response of an endpoint that did not run a request.
-const neverRanResponse = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
-
 // Guards endpoints against work that nobody waits for: the client has sent more than its
 // request, at which the library's own watch stops, and then disconnects.
 func TestClientDisconnectsAfterPipelinedBytes(t *testing.T) {
@@ -176,24 +182,17 @@
 		for how, end := range ends {
 			t.Run(extra+", "+how, func(t *testing.T) {
 				release := make(chan struct{})
-				serve := func(c net.Conn, req *http.Request, body []byte) bool {
-					<-release
-					return testsupport.RespondWith(neverRanResponse)(c, req, body)
-				}
-				a, b := testsupport.StartFakeEndpoint(t, serve), testsupport.StartFakeEndpoint(t, serve)
-				cfg := testConfig(t)
-				cfg.Settings.Limits.AllowCancel = false // the attempt stays in flight when its client disconnects
-				h := startNode(t, cfg, a.Addr, b.Addr)
+				h, requests := startNodeWithoutCancel(t, release)
 				c := h.dial()
 				io.WriteString(c, clientRequest("lookup", "00000000000000aa"))
-				testsupport.Eventually(t, "the attempt", func() bool { return len(a.Requests())+len(b.Requests()) == 1 })
+				testsupport.Eventually(t, "the attempt", func() bool { return len(requests()) == 1 })
 				io.WriteString(c, text)
 				awaitReadAhead(h, len(text)-1) // the first byte is with the library
 				end(c.Conn.(*net.TCPConn))
 				awaitAllAnswered(h)
 				close(release)
 				testsupport.Eventually(t, "the end of the attempt", func() bool { return h.openRequests() == 0 })
-				if got := append(a.Requests(), b.Requests()...); len(got) != 1 {
+				if got := requests(); len(got) != 1 {
 					t.Errorf("endpoints got %q", got)
 				}
 			})
--- a/internal/edge/handler_test.go
+++ b/internal/edge/handler_test.go
@@ -106,10 +106,7 @@
 // rejected unread, and the memory is free again once other requests are done.
 func TestBodyMemoryBudget(t *testing.T) {
 	release := make(chan struct{})
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
-		<-release
-		return testsupport.RespondOK(c, req, body)
-	})
+	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	cfg := testConfig(t)
 	cfg.Memory = frontend.MaxBodyBytes * 10 // one body of the largest size
 	h := startNode(t, cfg, endpoint.Addr)
--- a/internal/edge/readahead_test.go
+++ b/internal/edge/readahead_test.go
@@ -94,10 +94,7 @@
 // idle, and the request is served.
 func TestShutdownServesBytesReadAhead(t *testing.T) {
 	release := make(chan struct{})
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
-		<-release
-		return testsupport.RespondOK(c, req, body)
-	})
+	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	h.node.phases.read, h.node.phases.answer = testsupport.MaxWait, testsupport.MaxWait
 	c := h.dial()
--- a/internal/edge/request_test.go
+++ b/internal/edge/request_test.go
@@ -63,10 +63,7 @@
 // and does not touch it.
 func TestDuplicateRequestID(t *testing.T) {
 	release := make(chan struct{})
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
-		<-release
-		return testsupport.RespondOK(c, req, body)
-	})
+	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	first, second := h.dial(), h.dial()
 	io.WriteString(first, clientRequest("merge", "00000000000000aa"))
--- a/internal/testsupport/endpoint.go
+++ b/internal/testsupport/endpoint.go
@@ -31,6 +31,15 @@
 	return RespondWith(OKResponse)(conn, req, body)
 }
 
+// RespondAfter returns a responder that waits until release is closed and then answers as respond
+// does.
+func RespondAfter(release <-chan struct{}, respond Responder) Responder {
+	return func(conn net.Conn, req *http.Request, body []byte) bool {
+		<-release
+		return respond(conn, req, body)
+	}
+}
+
 // FakeEndpoint is an HTTP server on the loopback interface whose responses, byte for byte, are
 // those of a [Responder]. It takes the place of an endpoint, of the counter or of discovery, and
 // records the requests that it read. Its methods may be called from any goroutine.
