--- a/internal/edge/connreuse_test.go
+++ b/internal/edge/connreuse_test.go
@@ -144,7 +144,9 @@
 	})
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	c := h.dial()
-	c.roundTrip(clientRequest("merge", "0000000000000000"))
+	if resp, body := c.roundTrip(clientRequest("merge", "0000000000000000")); resp.StatusCode != http.StatusOK || body != "hello" {
+		t.Fatalf("request 0: status %d, body %q", resp.StatusCode, body)
+	}
 	firstIdle := func(ok func(conn *upstream.Conn) bool) func() bool {
 		return func() bool {
 			h.node.mu.Lock()
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -207,9 +207,9 @@
 	h.node.mu.Lock()
 	endpoint := h.node.pool.Endpoint(endpointID)
 	idle := endpoint.IdleConns()
-	if len(idle) != 1 {
+	if open := h.node.pool.OpenConns(); len(idle) != 1 || open != 1 {
 		h.node.mu.Unlock()
-		h.t.Fatalf("%d idle connections", len(idle))
+		h.t.Fatalf("%d idle connections of %d open ones, want one", len(idle), open)
 	}
 	idleSince := idle[0].IdleSince()
 	h.node.mu.Unlock()
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"log/slog"
 	"net/http"
 	"os"
@@ -45,6 +46,26 @@
 	}
 }
 
+// Guards the order of eviction on a whole node: half a request proves nothing of its
+// connection, a served request does.
+func TestServedRequestProvesItsConnection(t *testing.T) {
+	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
+	testsupport.Eventually(t, "the end of the connections before", func() bool { return h.node.clients.Stats().Open == 0 })
+	c := h.dial()
+	text := clientRequest("lookup", "00000000000000aa")
+	io.WriteString(c, text[:len(text)/2])
+	testsupport.Eventually(t, "the connection", func() bool { return h.node.clients.Stats().Open == 1 })
+	if proven := h.node.clients.Stats().Proven; proven != 0 {
+		t.Errorf("%d connections are proven by half a request", proven)
+	}
+	if resp, _ := c.roundTrip(text[len(text)/2:]); resp.StatusCode != http.StatusOK {
+		t.Fatalf("status %d", resp.StatusCode)
+	}
+	if proven := h.node.clients.Stats().Proven; proven != 1 {
+		t.Errorf("%d connections are proven by a served request, want 1", proven)
+	}
+}
+
 // Guards the descriptors that connections to neither clients nor endpoints may take, also where there are few.
 func TestReservedDescriptors(t *testing.T) {
 	for _, sockets := range []int{24, 40, 64, 99, 256, 1024} {
