--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -245,7 +245,7 @@
 		return
 	}
 	a.ended = true
-	a.neverRan = provesNeverRan(outcome)
+	a.neverRan = outcome.NeverRan()
 	a.abandon()
 	r := a.request
 	r.attemptsInFlight--
@@ -261,13 +261,3 @@
 	})
 	n.forgetIfDone(r)
 }
-
-// provesNeverRan reports whether an attempt with that outcome was not run by its endpoint.
-func provesNeverRan(outcome policy.Outcome) bool {
-	switch outcome {
-	case policy.Overloaded, policy.ConnectFailed, policy.NotSent:
-		return true
-	default:
-		return false
-	}
-}
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -46,7 +46,7 @@
 		return
 	}
 	a.inFlight = false
-	a.neverRan = ev.Outcome == Overloaded || ev.Outcome == ConnectFailed || ev.Outcome == NotSent
+	a.neverRan = ev.Outcome.NeverRan()
 	a.endpoint.inFlight--
 	r.tenant.inFlight--
 	g.learn(r, a, &ev)
--- a/internal/policy/event.go
+++ b/internal/policy/event.go
@@ -22,6 +22,17 @@
 	NotSent                       // never sent, as the request was done or had used up its attempts
 )
 
+// NeverRan reports whether an attempt with this outcome proves that its endpoint did not
+// run the request. After any other outcome it may have run.
+func (o Outcome) NeverRan() bool {
+	switch o {
+	case Overloaded, ConnectFailed, NotSent:
+		return true
+	default:
+		return false
+	}
+}
+
 // EndpointState is what discovery says of an endpoint.
 type EndpointState int
 
