--- a/internal/policy/bucketreading.go
+++ b/internal/policy/bucketreading.go
@@ -73,17 +73,17 @@
 		total += surplus
 		tokens = plan.Burst
 	}
-	t.bucket = bucketReading{epoch: epoch, total: total, tokens: tokens, at: g.now}
+	t.sharedBucket = bucketReading{epoch: epoch, total: total, tokens: tokens, at: g.now}
 	return tokens
 }
 
 // lostUnits returns the units that the counter had in this epoch and has no more, 0 if
 // it lost none to speak of.
 func (t *tenantState) lostUnits(epoch int64, total float64) float64 {
-	if !t.bucket.known() || t.bucket.epoch != epoch {
+	if !t.sharedBucket.known() || t.sharedBucket.epoch != epoch {
 		return 0
 	}
-	lost := t.bucket.total - total
+	lost := t.sharedBucket.total - total
 	if lost <= max(minLoss*t.plan.Burst, 2*t.largestRequest) {
 		return 0
 	}
@@ -98,7 +98,7 @@
 	if !r.chargedToBucket || math.Abs(correction) < minCorrection || !g.counterBudget.unrestricted() {
 		return
 	}
-	t.bucket.take(correction)
+	t.sharedBucket.take(correction)
 	g.addToCounter(t.bucketKey(t.bucketEpoch(g.now)), correction, bucketTTL, ignoreReply)
 }
 
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -45,7 +45,7 @@
 	t.beginInterval(index + 1)
 	t.refill(g.now)
 	t.intervalsSinceRequest++
-	if offered == 0 && t.forgettable() {
+	if offered == 0 && t.canEvict() {
 		delete(g.tenants, t.key)
 		return
 	}
--- a/internal/policy/sharedbucket.go
+++ b/internal/policy/sharedbucket.go
@@ -26,12 +26,12 @@
 // counter is slow to answer.
 func (g *Gateway) admitBySharedBucket(r *request, estimates *overQuotaEstimates) {
 	t := r.tenant
-	if t.bucket.known() && t.bucket.tokensAt(g.now, t.plan) < r.units-unitTolerance {
+	if t.sharedBucket.known() && t.sharedBucket.tokensAt(g.now, t.plan) < r.units-unitTolerance {
 		g.decide(r, false) // the other gateways can only have taken more
 		return
 	}
 	known := t.evidenceFor(r)
-	t.requestSeen = true
+	t.sharedBucketUsed = true
 	odds := overQuotaOdds{overQuota: estimates[known], cost: t.plan.OverQuotaCost - t.plan.OverQuotaWeight}
 	probability := g.overQuota.callProbability(odds.risk(r), g.counterBudget.rate)
 	calls := g.rng.Float64() < probability
@@ -58,13 +58,13 @@
 func (t *tenantState) evidenceFor(r *request) evidence {
 	known := noEvidence
 	switch {
-	case t.bucket.known() && t.bucket.sufficient:
+	case t.sharedBucket.known() && t.sharedBucket.sufficient:
 		known = bucketSufficient
-	case t.bucket.known():
+	case t.sharedBucket.known():
 		known = bucketShort
 	case t.tokens < r.units-unitTolerance:
 		known = localShareEmpty
-	case t.requestSeen:
+	case t.sharedBucketUsed:
 		known = localShareLeft
 	}
 	if r.isRetry {
@@ -84,7 +84,7 @@
 // hard limit is kept for uncoordinated decisions: it neither binds the request nor is
 // it charged.
 func (g *Gateway) decideGranted(r *request, granted bool) {
-	g.forwardOrReject(r, granted && r.tenant.withinConcurrency())
+	g.forwardOrReject(r, granted && r.tenant.withinConcurrencyLimit())
 }
 
 // sharedBucketCall takes units from a tenant's shared bucket for one request, which
@@ -131,13 +131,13 @@
 	}
 	tokens := g.readBucket(t, c.epoch, reply.Total-c.units)
 	sufficient := tokens >= r.units-unitTolerance
-	t.bucket.sufficient = sufficient
+	t.sharedBucket.sufficient = sufficient
 	c.estimates.observe(c.evidence, !sufficient)
 	if undecided {
 		g.decideGranted(r, sufficient)
 	}
 	if sufficient && len(r.attempts) > 0 {
-		t.bucket.take(c.units)
+		t.sharedBucket.take(c.units)
 		r.chargedToBucket = true
 		return
 	}
--- a/internal/policy/sparequota.go
+++ b/internal/policy/sparequota.go
@@ -49,7 +49,7 @@
 // the running interval. A late timer may not have ended that interval yet.
 func (t *tenantState) mayHaveSpareQuota(now Time) bool {
 	return t.plan.Rate != 0 && !t.totalStale && t.fleetDemand <= t.quota() &&
-		t.overQuotaInterval != t.intervalIndex && t.indexAt(now) == t.intervalIndex
+		t.lastOverQuotaInterval != t.intervalIndex && t.indexAt(now) == t.intervalIndex
 }
 
 // expired rejects the request when the counter did not reply in time.
@@ -72,7 +72,7 @@
 	if granted {
 		t.tokens = min(t.tokens+r.units+spare/t.gateways, max(t.tokenCapacity(), r.units))
 	} else if reply.Outcome == Succeeded {
-		t.overQuotaInterval = c.interval
+		t.lastOverQuotaInterval = c.interval
 	}
 	if c.held.release() {
 		g.decide(r, granted && t.withinLimits(r.units))
