--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -52,7 +52,7 @@
 	g.learn(r, a, &ev)
 	if ev.Outcome == Succeeded && !r.done && g.set.ActualUnitsReported && ev.ActualUnits > 0 {
 		r.tenant.tokens -= ev.ActualUnits - r.units
-		g.settle(r, ev.ActualUnits)
+		g.settleBucketCharge(r, ev.ActualUnits)
 	}
 	g.proceed(r, &ev)
 }
--- a/internal/policy/bucketreading.go
+++ b/internal/policy/bucketreading.go
@@ -9,7 +9,7 @@
 	bucketEpochLength = 25 * time.Second // for which one counter key holds a tenant's bucket
 	bucketTTL         = time.Minute      // for which it is kept: also while the next one is in use
 	maxSurplus        = 0.25             // part of the burst by which a total may show more than a full bucket
-	minLoss           = 0.5              // part of the burst that a total must lack for the counter to have lost units
+	lossThreshold     = 0.5              // part of the burst that a total must lack for the counter to have lost units
 	minCorrection     = 1.0              // units by which an estimate must be off for a call of its own
 )
 
@@ -55,10 +55,10 @@
 	return mix(t.key^mix(^uint64(epoch))) >> 1
 }
 
-// readBucket takes the total of a tenant's bucket, without what the call itself added,
+// applyBucketTotal takes the total of a tenant's bucket, without what the call itself added,
 // and returns the tokens left. It corrects the counter where the total shows more than
 // a full bucket, where units were lost, and in a new epoch.
-func (g *Gateway) readBucket(t *tenantState, epoch int64, total float64) float64 {
+func (g *Gateway) applyBucketTotal(t *tenantState, epoch int64, total float64) float64 {
 	plan, key := t.plan, t.bucketKey(epoch)
 	refilled := t.bucketAge(epoch, g.now).Seconds() * plan.Rate
 	if lost := t.lostUnits(epoch, total); lost > 0 {
@@ -84,15 +84,15 @@
 		return 0
 	}
 	lost := t.sharedBucket.total - total
-	if lost <= max(minLoss*t.plan.Burst, 2*t.largestRequest) {
+	if lost <= max(lossThreshold*t.plan.Burst, 2*t.largestRequest) {
 		return 0
 	}
 	return lost
 }
 
-// settle corrects the bucket by the actual units of a request that was charged to it,
+// settleBucketCharge corrects the bucket by the actual units of a request that was charged to it,
 // where the counter has calls to spare.
-func (g *Gateway) settle(r *request, actualUnits float64) {
+func (g *Gateway) settleBucketCharge(r *request, actualUnits float64) {
 	t := r.tenant
 	correction := actualUnits - r.units
 	if !r.chargedToBucket || math.Abs(correction) < minCorrection || !g.counterBudget.unrestricted() {
@@ -105,9 +105,9 @@
 // carryOverTokens begins a new epoch with what the last one left in the bucket.
 func (g *Gateway) carryOverTokens(t *tenantState, epoch int64) {
 	lastEpoch := epoch - 1
-	full := t.plan.Burst + t.bucketAge(lastEpoch, g.now).Seconds()*t.plan.Rate
+	fullTokens := t.plan.Burst + t.bucketAge(lastEpoch, g.now).Seconds()*t.plan.Rate
 	g.addToCounter(t.bucketKey(lastEpoch), 0, bucketTTL, func(reply CounterReplied) {
-		missing := t.plan.Burst - (full - reply.Total)
+		missing := t.plan.Burst - (fullTokens - reply.Total)
 		if reply.Outcome == Succeeded && reply.Total > 0 && missing > unitTolerance {
 			g.addToCounter(t.bucketKey(epoch), missing, bucketTTL, ignoreReply)
 		}
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	demandGain         = 0.5         // weight of the newest interval: few units are mostly chance
-	minEvenShare       = 0.7         // least part of the even split: no allocation of zero
-	uncoordinatedShare = 2.0         // times the even share, for allocations whose totals are not read
-	totalTolerance     = 1e-6        // part by which a total may miss what was added, from rounding
-	totalTTLMargin     = time.Second // for which the counter keeps an interval's total beyond two intervals
-	maxTotalTTL        = time.Minute // for which it is kept at most
+	demandSmoothingFactor = 0.5         // weight of the newest interval: few units are mostly chance
+	minAllocationShare    = 0.7         // least part of the even split: no allocation of zero
+	uncoordinatedMultiple = 2.0         // times the even share, for allocations whose totals are not read
+	totalTolerance        = 1e-6        // part by which a total may miss what was added, from rounding
+	totalTTLMargin        = time.Second // for which the counter keeps an interval's total beyond two intervals
+	maxTotalTTL           = time.Minute // for which it is kept at most
 )
 
 // intervalPhase shifts a tenant's interval ends, alike at all gateways, to spread the
@@ -22,8 +22,10 @@
 // clock's epoch.
 func (t *tenantState) sinceFirstInterval(now Time) Time { return now - t.intervalPhase() }
 
-// indexAt returns the index of the interval that runs at a time.
-func (t *tenantState) indexAt(now Time) int64 { return int64(t.sinceFirstInterval(now) / t.interval) }
+// intervalIndexAt returns the index of the interval that runs at a time.
+func (t *tenantState) intervalIndexAt(now Time) int64 {
+	return int64(t.sinceFirstInterval(now) / t.interval)
+}
 
 // intervalKey returns the counter key of the units offered in an interval, and for how
 // long the counter keeps them.
@@ -51,7 +53,7 @@
 	}
 	g.startIntervalTimer(t)
 	if offered == 0 {
-		t.localDemand *= 1 - demandGain
+		t.localDemand *= 1 - demandSmoothingFactor
 		t.updateAllocation()
 		return
 	}
@@ -78,39 +80,39 @@
 	ttl        time.Duration
 	offered    float64 // units offered in the interval
 	unreported float64 // the part that was not added during the interval
-	lost       float64 // units whose addition failed
+	notAdded   float64 // units whose addition failed
 }
 
 func (r *intervalReport) start() {
 	g := r.gateway
 	if r.unreported > 0 {
-		g.addToCounter(r.key, r.unreported, r.ttl, r.added)
+		g.addToCounter(r.key, r.unreported, r.ttl, r.onAddReply)
 	}
-	g.startTimer(g.set.CounterTimeout, r.read)
+	g.startTimer(g.set.CounterTimeout, r.readTotal)
 }
 
-// added takes the reply to the addition.
-func (r *intervalReport) added(reply CounterReplied) {
+// onAddReply takes the reply to the addition.
+func (r *intervalReport) onAddReply(reply CounterReplied) {
 	if reply.neverAdded() {
-		r.lost = r.unreported
+		r.notAdded = r.unreported
 	}
 }
 
-// read asks for the total, and makes up for an addition that failed.
-func (r *intervalReport) read() {
-	r.gateway.addToCounter(r.key, r.lost, r.ttl, func(reply CounterReplied) {
-		r.tenant.applyTotal(r.gateway.now, r.offered, reply)
+// readTotal asks for the total, and makes up for an addition that failed.
+func (r *intervalReport) readTotal() {
+	r.gateway.addToCounter(r.key, r.notAdded, r.ttl, func(reply CounterReplied) {
+		r.tenant.applyIntervalTotal(r.gateway.now, r.offered, reply)
 	})
 }
 
-// applyTotal derives the next allocation from an interval's total. A counter that does
+// applyIntervalTotal derives the next allocation from an interval's total. A counter that does
 // not answer, or that lost what was added here, leaves the demand as it was.
-func (t *tenantState) applyTotal(now Time, offered float64, reply CounterReplied) {
+func (t *tenantState) applyIntervalTotal(now Time, offered float64, reply CounterReplied) {
 	t.refill(now)
 	t.totalStale = reply.Outcome != Succeeded || reply.Total < offered*(1-totalTolerance)
 	if !t.totalStale {
-		t.localDemand += demandGain * (offered - t.localDemand)
-		t.fleetDemand += demandGain * (reply.Total - t.fleetDemand)
+		t.localDemand += demandSmoothingFactor * (offered - t.localDemand)
+		t.fleetDemand += demandSmoothingFactor * (reply.Total - t.fleetDemand)
 	}
 	t.updateAllocation()
 }
@@ -119,17 +121,17 @@
 // it is.
 func (t *tenantState) updateAllocation() {
 	capacityBefore := t.tokenCapacity()
-	wanted, whole := t.wantedAllocation()
-	t.allocation = min(max(wanted, minEvenShare*whole/t.gateways), whole)
+	target, limit := t.targetAllocation()
+	t.allocation = min(max(target, minAllocationShare*limit/t.gateways), limit)
 	if capacityBefore > 0 {
 		t.tokens *= t.tokenCapacity() / capacityBefore
 	}
 }
 
-// wantedAllocation returns the allocation by demand alone, and the whole that all
+// targetAllocation returns the allocation by demand alone, and the whole that all
 // gateways share: the local share of the fleet's demand while that exceeds the quota,
 // else the local demand and a part of what the fleet leaves.
-func (t *tenantState) wantedAllocation() (wanted, whole float64) {
+func (t *tenantState) targetAllocation() (target, limit float64) {
 	quota := t.quota()
 	switch {
 	case quota == 0: // no rate: the allocation is a bare share, for the limit on concurrent attempts
@@ -138,13 +140,13 @@
 		}
 		return 1 / t.gateways, 1
 	case t.usesSharedBucket(): // totals of such tenants are not read: some of what the others leave
-		return uncoordinatedShare * quota / t.gateways, quota
+		return uncoordinatedMultiple * quota / t.gateways, quota
 	case t.fleetDemand > quota:
 		return t.localDemand / t.fleetDemand * quota, quota
 	}
-	part := 1 / t.gateways // an even one while totals fail
+	spareShare := 1 / t.gateways // an even one while totals fail
 	if !t.totalStale {
-		part = math.Sqrt(part) // bursts seldom meet
+		spareShare = math.Sqrt(spareShare) // bursts seldom meet
 	}
-	return t.localDemand + (quota-t.fleetDemand)*part, quota
+	return t.localDemand + (quota-t.fleetDemand)*spareShare, quota
 }
--- a/internal/policy/sharedbucket.go
+++ b/internal/policy/sharedbucket.go
@@ -30,9 +30,9 @@
 		g.decide(r, false) // the other gateways can only have taken more
 		return
 	}
-	known := t.evidenceFor(r)
+	kind := t.evidenceFor(r)
 	t.sharedBucketUsed = true
-	odds := overQuotaOdds{overQuota: estimates[known], cost: t.plan.OverQuotaCost - t.plan.OverQuotaWeight}
+	odds := overQuotaOdds{overQuota: estimates[kind], cost: t.plan.OverQuotaCost - t.plan.OverQuotaWeight}
 	probability := g.overQuota.callProbability(odds.risk(r), g.counterBudget.rate)
 	calls := g.rng.Float64() < probability
 	waits := calls && !g.stalls.stalledLately(g.now) && r.deadline-g.now > 2*g.set.CounterTimeout
@@ -45,7 +45,7 @@
 	call := &sharedBucketCall{
 		gateway:   g,
 		held:      heldRequest{request: r, waiting: waits},
-		evidence:  known,
+		evidence:  kind,
 		estimates: estimates,
 		odds:      odds,
 		epoch:     t.bucketEpoch(g.now),
@@ -56,21 +56,21 @@
 
 // evidenceFor returns what is known of the tenant's quota for a request.
 func (t *tenantState) evidenceFor(r *request) evidence {
-	known := noEvidence
+	kind := noEvidence
 	switch {
 	case t.sharedBucket.known() && t.sharedBucket.sufficient:
-		known = bucketSufficient
+		kind = bucketSufficient
 	case t.sharedBucket.known():
-		known = bucketShort
+		kind = bucketShort
 	case t.tokens < r.units-unitTolerance:
-		known = localShareEmpty
+		kind = localShareEmpty
 	case t.sharedBucketUsed:
-		known = localShareLeft
+		kind = localShareLeft
 	}
 	if r.isRetry {
-		return known.forRetry()
+		return kind.forRetry()
 	}
-	return known
+	return kind
 }
 
 // decideUncoordinated decides a request without the counter.
@@ -80,10 +80,10 @@
 	g.decide(r, odds.favorAdmission() && hasTokens && t.withinLimits(r.units))
 }
 
-// decideGranted decides a request by the shared bucket. This gateway's share of the
+// decideBySharedBucket decides a request by the shared bucket. This gateway's share of the
 // hard limit is kept for uncoordinated decisions: it neither binds the request nor is
 // it charged.
-func (g *Gateway) decideGranted(r *request, granted bool) {
+func (g *Gateway) decideBySharedBucket(r *request, granted bool) {
 	g.forwardOrReject(r, granted && r.tenant.withinConcurrencyLimit())
 }
 
@@ -102,23 +102,23 @@
 func (c *sharedBucketCall) start() {
 	g := c.gateway
 	if c.held.waiting { // the reply may come later than is good for the request
-		g.startTimer(g.set.CounterTimeout, c.expired)
+		g.startTimer(g.set.CounterTimeout, c.onTimeout)
 	}
-	g.addToCounter(c.key(), c.units, bucketTTL, c.replied)
+	g.addToCounter(c.key(), c.units, bucketTTL, c.onReply)
 }
 
 func (c *sharedBucketCall) key() uint64 { return c.held.request.tenant.bucketKey(c.epoch) }
 
-// expired decides the request when the counter did not reply in time.
-func (c *sharedBucketCall) expired() {
+// onTimeout decides the request when the counter did not reply in time.
+func (c *sharedBucketCall) onTimeout() {
 	if c.held.release() {
 		c.gateway.decideUncoordinated(c.held.request, c.odds)
 	}
 }
 
-// replied decides the request by what the bucket holds, learns from it, and returns the
+// onReply decides the request by what the bucket holds, learns from it, and returns the
 // units unless the request was forwarded and the bucket held them.
-func (c *sharedBucketCall) replied(reply CounterReplied) {
+func (c *sharedBucketCall) onReply(reply CounterReplied) {
 	g, r := c.gateway, c.held.request
 	t := r.tenant
 	t.refill(g.now)
@@ -129,12 +129,12 @@
 		}
 		return
 	}
-	tokens := g.readBucket(t, c.epoch, reply.Total-c.units)
+	tokens := g.applyBucketTotal(t, c.epoch, reply.Total-c.units)
 	sufficient := tokens >= r.units-unitTolerance
 	t.sharedBucket.sufficient = sufficient
 	c.estimates.observe(c.evidence, !sufficient)
 	if undecided {
-		g.decideGranted(r, sufficient)
+		g.decideBySharedBucket(r, sufficient)
 	}
 	if sufficient && len(r.attempts) > 0 {
 		t.sharedBucket.take(c.units)
--- a/internal/policy/sparequota.go
+++ b/internal/policy/sparequota.go
@@ -1,8 +1,8 @@
 package policy
 
-// spareQuotaShare is the part of the quota up to which a gateway whose allocation is
+// usableQuotaShare is the part of the quota up to which a gateway whose allocation is
 // used up may use what the others leave.
-const spareQuotaShare = 0.8
+const usableQuotaShare = 0.8
 
 // spareQuotaCall asks the counter for the running total of the interval, to admit one
 // request by quota that the other gateways have left so far. It adds what was offered
@@ -39,9 +39,9 @@
 		added:    t.offered - t.reported,
 	}
 	t.reported = t.offered
-	g.startTimer(g.set.CounterTimeout, call.expired)
+	g.startTimer(g.set.CounterTimeout, call.onTimeout)
 	key, ttl := t.intervalKey(call.interval)
-	g.addToCounter(key, call.added, ttl, call.replied)
+	g.addToCounter(key, call.added, ttl, call.onReply)
 	return true
 }
 
@@ -49,18 +49,18 @@
 // the running interval. A late timer may not have ended that interval yet.
 func (t *tenantState) mayHaveSpareQuota(now Time) bool {
 	return t.plan.Rate != 0 && !t.totalStale && t.fleetDemand <= t.quota() &&
-		t.lastOverQuotaInterval != t.intervalIndex && t.indexAt(now) == t.intervalIndex
+		t.lastOverQuotaInterval != t.intervalIndex && t.intervalIndexAt(now) == t.intervalIndex
 }
 
-// expired rejects the request when the counter did not reply in time.
-func (c *spareQuotaCall) expired() {
+// onTimeout rejects the request when the counter did not reply in time.
+func (c *spareQuotaCall) onTimeout() {
 	if c.held.release() {
 		c.gateway.decide(c.held.request, false)
 	}
 }
 
-// replied grants the request its units, and the allocation its part of what is left.
-func (c *spareQuotaCall) replied(reply CounterReplied) {
+// onReply grants the request its units, and the allocation its part of what is left.
+func (c *spareQuotaCall) onReply(reply CounterReplied) {
 	g, r := c.gateway, c.held.request
 	t := r.tenant
 	t.refill(g.now)
@@ -86,5 +86,5 @@
 	t := c.held.request.tenant
 	elapsed := float64(c.elapsed) / float64(t.interval)
 	othersUse := max(total-c.offered, (t.fleetDemand-t.localDemand)*elapsed)
-	return spareQuotaShare*t.quota() - c.offered - othersUse
+	return usableQuotaShare*t.quota() - c.offered - othersUse
 }
--- a/internal/policy/tenant.go
+++ b/internal/policy/tenant.go
@@ -51,7 +51,7 @@
 		}
 		g.tenants[t.key] = t
 		if g.set.CounterEnabled && (t.plan.Rate > 0 || t.plan.MaxConcurrent > 0) {
-			t.intervalIndex = t.indexAt(g.now)
+			t.intervalIndex = t.intervalIndexAt(g.now)
 			g.startIntervalTimer(t)
 		}
 	}
