--- a/internal/policy/hardlimit.go
+++ b/internal/policy/hardlimit.go
@@ -26,20 +26,20 @@
 
 // capacity returns this gateway's part of the limit's burst and tolerance.
 func (s *hardLimitShare) capacity(sharedBucket bool) float64 {
-	whole := s.plan.HardLimitBurst + s.plan.HardLimitTolerance
+	total := s.plan.HardLimitBurst + s.plan.HardLimitTolerance
 	if sharedBucket {
-		whole = max(whole-s.plan.Burst, 0)
+		total = max(total-s.plan.Burst, 0)
 	}
-	return whole / s.gateways * hardLimitMargin
+	return total / s.gateways * hardLimitMargin
 }
 
 // refillRate returns the units that the share gains in a second.
 func (s *hardLimitShare) refillRate(sharedBucket bool) float64 {
-	whole := s.plan.HardLimitRate
+	total := s.plan.HardLimitRate
 	if sharedBucket {
-		whole = max(whole-s.plan.Rate, 0)
+		total = max(total-s.plan.Rate, 0)
 	}
-	return whole / s.gateways * hardLimitMargin
+	return total / s.gateways * hardLimitMargin
 }
 
 // refill adds what the share gained in some seconds.
--- a/internal/policy/incarnation.go
+++ b/internal/policy/incarnation.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	recordRenewal = 2 * time.Second        // between renewals of the record at the counter
-	recordEpoch   = 20 * time.Second       // the record has a new key this often
-	recordTTL     = time.Minute            // for which the counter keeps it: over the next two epochs
-	recordRetry   = 100 * time.Millisecond // until the counter is asked again that did not answer
+	recordRenewalInterval = 2 * time.Second        // between renewals of the record at the counter
+	recordEpochLength     = 20 * time.Second       // the record has a new key this often
+	recordTTL             = time.Minute            // for which the counter keeps it: over the next two epochs
+	recordRetryDelay      = 100 * time.Millisecond // until the counter is asked again that did not answer
 )
 
 // incarnationRecord is what this gateway's incarnations leave at the counter for the
@@ -16,12 +16,12 @@
 	gatewayIndex int
 	startedAt    Time
 	requested    bool // loading has begun
-	first        bool // the counter holds no record of an earlier incarnation
+	isFirst      bool // the counter holds no record of an earlier incarnation
 }
 
 // key is the record's counter key in the epoch of a time, or in one of the epochs before.
 func (r *incarnationRecord) key(at Time, epochsBefore int64) uint64 {
-	epoch := int64(at/recordEpoch) - epochsBefore
+	epoch := int64(at/recordEpochLength) - epochsBefore
 	return mix(^mix(uint64(r.gatewayIndex))^mix(uint64(epoch))) >> 1
 }
 
@@ -41,13 +41,13 @@
 	g.addToCounter(key, 0, recordTTL, func(reply CounterReplied) {
 		switch {
 		case reply.Outcome != Succeeded:
-			g.startTimer(recordRetry, func() { g.loadIncarnationRecord(epochsBefore) })
+			g.startTimer(recordRetryDelay, func() { g.loadIncarnationRecord(epochsBefore) })
 			return
 		case reply.Total == 0 && epochsBefore == 0:
 			g.loadIncarnationRecord(1)
 			return
 		case reply.Total == 0:
-			g.incarnation.first = true
+			g.incarnation.isFirst = true
 			for _, t := range g.tenants {
 				t.hardLimit.release()
 			}
@@ -60,5 +60,5 @@
 // may lose what it holds.
 func (g *Gateway) renewIncarnationRecord() {
 	g.addToCounter(g.incarnation.key(g.now, 0), 1, recordTTL, ignoreReply)
-	g.startTimer(recordRenewal, g.renewIncarnationRecord)
+	g.startTimer(recordRenewalInterval, g.renewIncarnationRecord)
 }
--- a/internal/policy/sharedbucket.go
+++ b/internal/policy/sharedbucket.go
@@ -32,12 +32,12 @@
 	}
 	kind := t.evidenceFor(r)
 	t.sharedBucketUsed = true
-	odds := overQuotaOdds{overQuota: estimates[kind], cost: t.plan.OverQuotaCost - t.plan.OverQuotaWeight}
-	probability := g.overQuota.callProbability(odds.risk(r), g.counterBudget.rate)
+	risk := overQuotaRisk{probability: estimates[kind], cost: t.plan.OverQuotaCost - t.plan.OverQuotaWeight}
+	probability := g.overQuota.callProbability(risk.valueAtRisk(r), g.counterBudget.rate)
 	calls := g.rng.Float64() < probability
 	waits := calls && !g.stalls.stalledLately(g.now) && r.deadline-g.now > 2*g.set.CounterTimeout
 	if !waits {
-		g.decideUncoordinated(r, odds)
+		g.decideUncoordinated(r, risk)
 	}
 	if !calls {
 		return
@@ -47,7 +47,7 @@
 		held:      heldRequest{request: r, waiting: waits},
 		evidence:  kind,
 		estimates: estimates,
-		odds:      odds,
+		risk:      risk,
 		epoch:     t.bucketEpoch(g.now),
 		units:     r.units / probability,
 	}
@@ -61,11 +61,11 @@
 	case t.sharedBucket.known() && t.sharedBucket.sufficient:
 		kind = bucketSufficient
 	case t.sharedBucket.known():
-		kind = bucketShort
+		kind = bucketInsufficient
 	case t.tokens < r.units-unitTolerance:
-		kind = localShareEmpty
+		kind = localTokensExhausted
 	case t.sharedBucketUsed:
-		kind = localShareLeft
+		kind = localTokensLeft
 	}
 	if r.isRetry {
 		return kind.forRetry()
@@ -74,10 +74,10 @@
 }
 
 // decideUncoordinated decides a request without the counter.
-func (g *Gateway) decideUncoordinated(r *request, odds overQuotaOdds) {
+func (g *Gateway) decideUncoordinated(r *request, risk overQuotaRisk) {
 	t := r.tenant
-	hasTokens := odds.cost <= 0 || t.tokens >= r.units-unitTolerance
-	g.decide(r, odds.favorAdmission() && hasTokens && t.withinLimits(r.units))
+	hasTokens := risk.cost <= 0 || t.tokens >= r.units-unitTolerance
+	g.decide(r, risk.favorsAdmission() && hasTokens && t.withinLimits(r.units))
 }
 
 // decideBySharedBucket decides a request by the shared bucket. This gateway's share of the
@@ -94,7 +94,7 @@
 	held      heldRequest
 	evidence  evidence
 	estimates *overQuotaEstimates
-	odds      overQuotaOdds
+	risk      overQuotaRisk
 	epoch     int64
 	units     float64 // the request's own, and those of the requests that made no call
 }
@@ -112,7 +112,7 @@
 // onTimeout decides the request when the counter did not reply in time.
 func (c *sharedBucketCall) onTimeout() {
 	if c.held.release() {
-		c.gateway.decideUncoordinated(c.held.request, c.odds)
+		c.gateway.decideUncoordinated(c.held.request, c.risk)
 	}
 }
 
@@ -125,7 +125,7 @@
 	undecided := c.held.release()
 	if reply.Outcome != Succeeded {
 		if undecided {
-			g.decideUncoordinated(r, c.odds)
+			g.decideUncoordinated(r, c.risk)
 		}
 		return
 	}
--- a/internal/policy/tenant.go
+++ b/internal/policy/tenant.go
@@ -79,7 +79,7 @@
 	t.updateAllocation()
 	t.tokens = t.tokenCapacity()
 	t.hardLimit = newHardLimitShare(plan, t.gateways, t.usesSharedBucket())
-	if !g.incarnation.first {
+	if !g.incarnation.isFirst {
 		t.hardLimit.withhold(g.now-g.incarnation.startedAt, t.usesSharedBucket())
 	}
 	return t
