--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -41,7 +41,7 @@
 	return list
 }
 
-func TestFleetSharesWorkByTheCapacityOfEndpointsWarmingUp(t *testing.T) {
+func TestFleetBalancesByCapacityDuringWarmUp(t *testing.T) {
 	for _, warmingUp := range []int{3, 22, 36} {
 		t.Run(fmt.Sprint(warmingUp, " warming up"), func(t *testing.T) {
 			set := settings()
@@ -85,15 +85,15 @@
 	calls       int
 }
 
-// call queues a call and returns when its reply comes.
-func (c *queueingCounter) call(now time.Duration) time.Duration {
+// enqueue queues a call and returns when its reply comes.
+func (c *queueingCounter) enqueue(now time.Duration) time.Duration {
 	c.calls++
 	c.idleAt = max(c.idleAt, now) + c.serviceTime
 	return c.idleAt
 }
 
-// dueReply is a reply on its way to a gateway.
-type dueReply struct {
+// pendingReply is a reply on its way to a gateway.
+type pendingReply struct {
 	at      time.Duration
 	gateway *harness
 	reply   policy.CounterReplied
@@ -114,7 +114,7 @@
 
 	offered   []float64 // by tenant
 	forwarded []float64
-	replies   []dueReply
+	replies   []pendingReply
 	tenantOf  map[string]int // of a request
 }
 
@@ -166,13 +166,13 @@
 			}
 			h.succeed(action.RequestID, action)
 		case policy.AddToCounter:
-			tr.replies = append(tr.replies, dueReply{tr.counter.call(h.now), h, tr.counter.add(action)})
+			tr.replies = append(tr.replies, pendingReply{tr.counter.enqueue(h.now), h, tr.counter.add(action)})
 		}
 	}
 	h.counterCalls = h.counterCalls[:0]
 }
 
-func TestFleetFillsAndKeepsTheQuotaOfWidelySpreadTenants(t *testing.T) {
+func TestFleetUsesAndHoldsQuotaOfTenantsOnManyGateways(t *testing.T) {
 	// Plan 0 has 4 units a second and a burst of 8; 60 gateways see a tenant's request every 20 s each. Half of
 	// the tenants ask for 11 units in one second of four, the others for four times their quota.
 	set := settings()
@@ -210,7 +210,7 @@
 	}
 }
 
-func TestFleetKeepsTheCountersQueueShort(t *testing.T) {
+func TestFleetKeepsCounterQueueShort(t *testing.T) {
 	// The counter serves a third of what the fleet would call. What waits for it longer than requests are held is
 	// of no use, so the gateways together must call less than it serves.
 	set := settings()
@@ -271,7 +271,7 @@
 	return q
 }
 
-func (q *quotaOracle) observe(tenant int, now time.Duration, forwarded bool) {
+func (q *quotaOracle) count(tenant int, now time.Duration, forwarded bool) {
 	switch {
 	case forwarded && q.forwarded[tenant].take(now):
 		q.forwardedWithin++
@@ -282,9 +282,9 @@
 	}
 }
 
-// calmDayRate has most tenants ask for a third of the rate of plan 0, some for nearly all, some for more, some in
+// mixedDemandRate has most tenants ask for a third of the rate of plan 0, some for nearly all, some for more, some in
 // bursts.
-func calmDayRate(tenant int, since time.Duration) float64 {
+func mixedDemandRate(tenant int, since time.Duration) float64 {
 	switch {
 	case tenant%10 == 0:
 		return 3.8
@@ -296,23 +296,23 @@
 	return 1.3
 }
 
-func TestFleetKeepsQuotasOnACalmDay(t *testing.T) {
+func TestFleetHoldsQuotasUnderMixedDemand(t *testing.T) {
 	// What the fleet forwards over the quotas costs at most 0.1 of what is offered within them: so it is at most 0.1
 	// more than under any policy that sees the true buckets late. Plan 0 has 4 units a second and a burst of 8.
 	const seconds, gateways, tenants = 40, 30, 30
-	for _, each := range []time.Duration{4 * ms, 20 * ms} { // a counter with calls to spare, and one with few
-		t.Run(fmt.Sprint("a call each ", each), func(t *testing.T) {
+	for _, serviceTime := range []time.Duration{4 * ms, 20 * ms} { // a counter with calls to spare, and one with few
+		t.Run(fmt.Sprint("a call each ", serviceTime), func(t *testing.T) {
 			set := settings()
 			set.Plans[0].OverQuotaCost = 1
 			harnesses := newFleet(t, gateways, set, newEndpointList(0, 0))
 			quotas := newQuotaOracle(tenants, harnesses[0].now)
 			traffic := &tenantTraffic{
 				gateways: harnesses,
-				counter:  &queueingCounter{fakeCounter: fakeCounter{}, serviceTime: each},
+				counter:  &queueingCounter{fakeCounter: fakeCounter{}, serviceTime: serviceTime},
 				rng:      rand.New(rand.NewPCG(9, 10)),
 				tenants:  tenants,
-				rate:     calmDayRate,
-				observe:  quotas.observe,
+				rate:     mixedDemandRate,
+				observe:  quotas.count,
 			}
 			traffic.run(seconds * time.Second)
 			if quotas.forwardedOver > 0.1*quotas.offeredWithin {
--- a/internal/policy/quota_test.go
+++ b/internal/policy/quota_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestWithinQuotaTheLastDemandIsAdmitted(t *testing.T) {
+func TestDemandWithinQuotaIsAdmitted(t *testing.T) {
 	if k := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(6)); k < 49 {
 		t.Errorf("below the quota %d of 50 units were admitted", k)
 	}
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestFailedAddIsMadeUpByTheRead(t *testing.T) {
+func TestReadRepeatsAFailedCounterAdd(t *testing.T) {
 	h := newHarness(t, settings(), 6)
 	h.countAdmitted(2, 0, 1)
 	var calls []policy.AddToCounter
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestHardLimitAlsoAfterRestart(t *testing.T) {
+func TestHardLimitHoldsAcrossRestarts(t *testing.T) {
 	// Whatever earlier incarnations spent, each new one starts with nothing of the hard limit: it finds their
 	// record at the counter, and where the counter does not respond it takes the record to be there.
 	units, counter := 0, fakeCounter{}
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestFirstIncarnationHasItsShareOfTheHardLimit(t *testing.T) {
+func TestFirstIncarnationStartsWithItsHardLimitShare(t *testing.T) {
 	// With no record of an earlier incarnation the share is there at once, not only after its refill.
 	h, counter := newHarness(t, settings(), 6), fakeCounter{}
 	h.countAdmitted(1, 2, 9)
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestRetriesLeaveTheTokensToFirstAttempts(t *testing.T) {
+func TestRetriesLeaveTokensForFirstAttempts(t *testing.T) {
 	// Found on quiet days: late retries used up tokens that first attempts then lacked.
 	h := newHarness(t, settings(), 6)
 	retryAdmitted := func() bool {
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestActualUnitsAreTakenFromTheAllocation(t *testing.T) {
+func TestAllocationIsChargedActualUnits(t *testing.T) {
 	// A third of the burst of 8 is 2.67; an estimate of 1 that truly was 3 leaves less than nothing.
 	for units, want := range map[float64]int{1: 1, 3: 0} {
 		set := settings()
@@ -178,7 +178,7 @@
 	}
 }
 
-func TestSlowCounterStillGivesTheAllocation(t *testing.T) {
+func TestLateAddRepliesKeepTheAllocation(t *testing.T) {
 	// The replies to adds come too late, yet the adds arrived, and the reads tell the total.
 	h := newHarness(t, settings(), 6)
 	k := admittedAtSteadyDemand(h, func(call policy.AddToCounter) policy.CounterReplied {
@@ -192,7 +192,7 @@
 	}
 }
 
-func TestWithoutCounterTheSplitIsEven(t *testing.T) {
+func TestQuotaIsSplitEvenlyWithoutCounter(t *testing.T) {
 	set := settings()
 	set.CounterEnabled = false
 	h := newHarness(t, set, 6)
@@ -206,7 +206,7 @@
 	}
 }
 
-func TestUsedUpAllocationAsksForSpareQuota(t *testing.T) {
+func TestExhaustedAllocationUsesSpareQuota(t *testing.T) {
 	// An allocation that is used up while the others' demand is low: one call tells whether the quota has spare.
 	for _, test := range []struct {
 		name   string
--- a/internal/policy/sharedbucket_test.go
+++ b/internal/policy/sharedbucket_test.go
@@ -20,7 +20,7 @@
 	return len(startedAttempts(actions)) > 0 || hasAction[policy.Reject](actions)
 }
 
-func TestSmallSharesAreDecidedByTheSharedBucket(t *testing.T) {
+func TestSharedBucketDecidesForSmallShares(t *testing.T) {
 	// Of a quota of 8 an interval one of 100 gateways has less than a request: the total decides, not an allocation.
 	decide := func(total float64, timeout time.Duration) (calls, admitted int) {
 		set := settings()
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestLateRepliesOfTheCounterHoldNoRequest(t *testing.T) {
+func TestRequestIsHeldNoLongerThanCounterTimeout(t *testing.T) {
 	// The caller may wait for the counter for longer than CounterTimeout; a request is held no longer than that, and
 	// a total that comes later decides it no more.
 	h := newHarness(t, settings(), 6)
@@ -91,7 +91,7 @@
 
 // admittedByFleet offers a tenant's requests of one unit, at times the quota of 4 a second, through a number of
 // gateways for 40 s before a shared counter, which rejects a part of their calls, and returns the units admitted.
-func admittedByFleet(t *testing.T, gateways int, times float64, rejected float64) (units float64) {
+func admittedByFleet(t *testing.T, gateways int, demandMultiple float64, rejectedShare float64) (units float64) {
 	t.Helper()
 	set := settings()
 	set.Gateways, set.Plans[0].OverQuotaCost = gateways, 1
@@ -103,13 +103,13 @@
 	}
 	counter, now := fakeCounter{}, 1000*time.Second
 	reply := func(call policy.AddToCounter) policy.CounterReplied {
-		if rng.Float64() < rejected {
+		if rng.Float64() < rejectedShare {
 			return policy.CounterReplied{Key: call.Key, Outcome: policy.Overloaded}
 		}
 		return counter.add(call)
 	}
-	for i := range int(160 * times) {
-		at := 1000*time.Second + time.Duration(float64(i)/(4*times)*1e9)
+	for i := range int(160 * demandMultiple) {
+		at := 1000*time.Second + time.Duration(float64(i)/(4*demandMultiple)*1e9)
 		for now < at { // in steps shorter than CounterTimeout, so that adds come before reads
 			now = min(now+20*ms, at)
 			for _, h := range harnesses {
@@ -126,7 +126,7 @@
 	return units
 }
 
-func TestFleetKeepsTheQuotaOverAnyNumberOfGateways(t *testing.T) {
+func TestFleetHoldsQuotaForAnyNumberOfGateways(t *testing.T) {
 	// The burst of 8 is far below the largest numbers. 40 s at 4 units a second and the burst are 168 units; half
 	// more is for uncoordinated decisions, at gateways that know nothing of the tenant yet.
 	for _, gateways := range []int{1, 3, 100, 277} {
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestCounterThatRejectsMostCalls(t *testing.T) {
+func TestFleetRoughlyHoldsQuotaWhenCounterRejectsMostCalls(t *testing.T) {
 	for _, gateways := range []int{3, 100} {
 		if k := admittedByFleet(t, gateways, 3, 0.8); k < 80 || k > 420 {
 			t.Errorf("%d gateways: %v units of 480 admitted where the quota is 168", gateways, k)
@@ -149,12 +149,12 @@
 	}
 }
 
-func TestActualUnitsSettleTheSharedBucket(t *testing.T) {
+func TestSharedBucketIsChargedActualUnits(t *testing.T) {
 	for units, want := range map[float64]float64{1: 1, 3: 3} {
 		set := settings()
 		set.ActualUnitsReported, set.Plans[0].OverQuotaCost = true, 1
-		// largest returns the largest total of the counter, which holds the bucket, after one request.
-		largest := func(end func(h *harness, counter fakeCounter, attempts []policy.StartAttempt)) float64 {
+		// largestTotal returns the largest total of the counter, which holds the bucket, after one request.
+		largestTotal := func(end func(h *harness, counter fakeCounter, attempts []policy.StartAttempt)) float64 {
 			h, counter := newHarness(t, set, 6), fakeCounter{}
 			h.receiveEvent(sharedBucketRequest(1, 2*time.Second))
 			end(h, counter, startedAttempts(h.advance(ms, counter.add)))
@@ -164,7 +164,7 @@
 			}
 			return maxTotal
 		}
-		settled := largest(func(h *harness, counter fakeCounter, attempts []policy.StartAttempt) {
+		settled := largestTotal(func(h *harness, counter fakeCounter, attempts []policy.StartAttempt) {
 			for _, attempt := range attempts {
 				h.step(policy.AttemptEnded{RequestID: attempt.RequestID, Endpoint: attempt.Endpoint, Outcome: policy.Succeeded,
 					Latency: 20 * ms, RequestDone: true, ActualUnits: units})
@@ -172,7 +172,7 @@
 			h.advance(ms, counter.add)
 		})
 		// The total also holds what had refilled a full bucket before the request.
-		unsettled := largest(func(*harness, fakeCounter, []policy.StartAttempt) {})
+		unsettled := largestTotal(func(*harness, fakeCounter, []policy.StartAttempt) {})
 		if got := settled - unsettled + 1; got < want-1e-6 || got > want+1e-6 {
 			t.Errorf("an estimate of 1 that truly was %v took %v units of the bucket", units, got)
 		}
