--- a/internal/policy/bucketreading.go
+++ b/internal/policy/bucketreading.go
@@ -20,14 +20,14 @@
 	total      float64 // units taken in the epoch, those of this gateway included
 	tokens     float64 // units left in the bucket
 	sufficient bool    // it held the units of the request that asked
-	at         Time    // when; 0: never
+	readAt     Time    // when; 0: never
 }
 
-func (b *bucketReading) known() bool { return b.at > 0 }
+func (b *bucketReading) known() bool { return b.readAt > 0 }
 
 // tokensAt returns the tokens at a later time if no gateway took any since.
 func (b *bucketReading) tokensAt(now Time, plan *Plan) float64 {
-	return b.tokens + (now-b.at).Seconds()*plan.Rate
+	return b.tokens + (now-b.readAt).Seconds()*plan.Rate
 }
 
 // take counts units that this gateway took.
@@ -73,7 +73,7 @@
 		total += surplus
 		tokens = plan.Burst
 	}
-	t.sharedBucket = bucketReading{epoch: epoch, total: total, tokens: tokens, at: g.now}
+	t.sharedBucket = bucketReading{epoch: epoch, total: total, tokens: tokens, readAt: g.now}
 	return tokens
 }
 
--- a/internal/policy/countercalls.go
+++ b/internal/policy/countercalls.go
@@ -19,38 +19,38 @@
 
 // counterBudget limits the calls to the counter to what it can answer in time.
 type counterBudget struct {
-	rate       float64 // share of the decisions that may call the counter; up to maxCallRate
+	callRate   float64 // share of the decisions that may call the counter; up to maxCallRate
 	provenRate float64 // the highest rate at which calls were answered well, fading with failures
 }
 
-func newCounterBudget() counterBudget { return counterBudget{rate: 1, provenRate: 1} }
+func newCounterBudget() counterBudget { return counterBudget{callRate: 1, provenRate: 1} }
 
 // allows reports whether a decision with this random number in [0,1) may call the counter.
-func (b *counterBudget) allows(random float64) bool { return random <= b.rate }
+func (b *counterBudget) allows(random float64) bool { return random <= b.callRate }
 
 // unrestricted reports whether the counter has calls to spare.
-func (b *counterBudget) unrestricted() bool { return b.rate >= 1 }
+func (b *counterBudget) unrestricted() bool { return b.callRate >= 1 }
 
 // skipsInterval reports whether a tenant's interval is not reported: a counter that
 // gets more calls than it can serve helps nobody.
 func (b *counterBudget) skipsInterval(index int64) bool {
-	return b.rate < halfReportsBelow && index&1 != 0 || b.rate < quarterReportsBelow && index&2 != 0
+	return b.callRate < halfReportsBelow && index&1 != 0 || b.callRate < quarterReportsBelow && index&2 != 0
 }
 
 // decrease takes a call into account that failed or was answered late.
 func (b *counterBudget) decrease() {
-	b.rate = max(b.rate*callRateCut, minCallRate)
+	b.callRate = max(b.callRate*callRateCut, minCallRate)
 	b.provenRate *= provenRateCut
 }
 
 // increase takes a call into account that was answered in time.
 func (b *counterBudget) increase() {
-	if b.rate < b.provenRate*callRateCut {
-		b.rate *= callRateRecovery
+	if b.callRate < b.provenRate*callRateCut {
+		b.callRate *= callRateRecovery
 		return
 	}
-	b.rate = min(b.rate*callRateGrowth, maxCallRate)
-	b.provenRate = max(b.provenRate, b.rate)
+	b.callRate = min(b.callRate*callRateGrowth, maxCallRate)
+	b.provenRate = max(b.provenRate, b.callRate)
 }
 
 // counterCall is a call to the counter that has not been answered yet.
--- a/internal/policy/quota_test.go
+++ b/internal/policy/quota_test.go
@@ -9,8 +9,8 @@
 
 func TestInitialAllocationIsAnEvenShare(t *testing.T) {
 	// Burst 8 over 3 gateways: 2.67 units, two requests of one unit.
-	if k := newHarness(t, settings(), 6).countAdmitted(8, 0, 1); k < 2 || k > 4 {
-		t.Errorf("a new tenant got %d units at once of a burst of 8 shared by 3", k)
+	if admitted := newHarness(t, settings(), 6).countAdmitted(8, 0, 1); admitted < 2 || admitted > 4 {
+		t.Errorf("a new tenant got %d units at once of a burst of 8 shared by 3", admitted)
 	}
 }
 
@@ -28,18 +28,18 @@
 
 func TestAllocationFollowsTheDemandShareOverQuota(t *testing.T) {
 	// The quota of an interval is 4·2 = 8. Local demand 5 of fleet demand 10: 5/10·8 = 4 an interval, 40 in 20 s.
-	if k := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(10)); k < 37 || k > 43 {
-		t.Errorf("half of the demand got %d of 80 units, want about 40", k)
+	if admitted := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(10)); admitted < 37 || admitted > 43 {
+		t.Errorf("half of the demand got %d of 80 units, want about 40", admitted)
 	}
 	// 5 of 20 falls to 5/20·8 = 2, above the floor of 0.7·8/3 = 1.87: 20 in 20 s.
-	if k := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(20)); k < 17 || k > 23 {
-		t.Errorf("a quarter of the demand got %d of 80 units, want about 20", k)
+	if admitted := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(20)); admitted < 17 || admitted > 23 {
+		t.Errorf("a quarter of the demand got %d of 80 units, want about 20", admitted)
 	}
 }
 
 func TestDemandWithinQuotaIsAdmitted(t *testing.T) {
-	if k := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(6)); k < 49 {
-		t.Errorf("below the quota %d of 50 units were admitted", k)
+	if admitted := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(6)); admitted < 49 {
+		t.Errorf("below the quota %d of 50 units were admitted", admitted)
 	}
 }
 
@@ -50,8 +50,8 @@
 	} {
 		h := newHarness(t, settings(), 6)
 		admittedAtSteadyDemand(h, replyWithTotal(20))
-		if k := admittedAtSteadyDemand(h, reply); k > 24 {
-			t.Errorf("%s: %d of 80 units admitted, the last allocation was 20", name, k)
+		if admitted := admittedAtSteadyDemand(h, reply); admitted > 24 {
+			t.Errorf("%s: %d of 80 units admitted, the last allocation was 20", name, admitted)
 		}
 	}
 }
@@ -172,8 +172,8 @@
 		id, actions := h.receive(0, 0, 1, 1)
 		h.step(policy.AttemptEnded{RequestID: id, Endpoint: startedAttempts(actions)[0].Endpoint, Outcome: policy.Succeeded, Latency: 20 * ms, RequestDone: true,
 			ActualUnits: units})
-		if k := h.countAdmitted(1, 0, 1); k != want {
-			t.Errorf("after %v actual units %d requests admitted, want %d", units, k, want)
+		if admitted := h.countAdmitted(1, 0, 1); admitted != want {
+			t.Errorf("after %v actual units %d requests admitted, want %d", units, admitted, want)
 		}
 	}
 }
@@ -181,14 +181,14 @@
 func TestLateAddRepliesKeepTheAllocation(t *testing.T) {
 	// The replies to adds come too late, yet the adds arrived, and the reads tell the total.
 	h := newHarness(t, settings(), 6)
-	k := admittedAtSteadyDemand(h, func(call policy.AddToCounter) policy.CounterReplied {
+	admitted := admittedAtSteadyDemand(h, func(call policy.AddToCounter) policy.CounterReplied {
 		if call.Units > 0 {
 			return policy.CounterReplied{Key: call.Key, Outcome: policy.TimedOut}
 		}
 		return policy.CounterReplied{Key: call.Key, Total: 20}
 	})
-	if k < 14 || k > 24 {
-		t.Errorf("a quarter of the demand got %d of 80 units, want about 20", k)
+	if admitted < 14 || admitted > 24 {
+		t.Errorf("a quarter of the demand got %d of 80 units, want about 20", admitted)
 	}
 }
 
--- a/internal/policy/sharedbucket.go
+++ b/internal/policy/sharedbucket.go
@@ -33,7 +33,7 @@
 	kind := t.evidenceFor(r)
 	t.sharedBucketUsed = true
 	risk := overQuotaRisk{probability: estimates[kind], cost: t.plan.OverQuotaCost - t.plan.OverQuotaWeight}
-	probability := g.overQuota.callProbability(risk.valueAtRisk(r), g.counterBudget.rate)
+	probability := g.overQuota.callProbability(risk.valueAtRisk(r), g.counterBudget.callRate)
 	calls := g.rng.Float64() < probability
 	waits := calls && !g.stalls.stalledLately(g.now) && r.deadline-g.now > 2*g.set.CounterTimeout
 	if !waits {
--- a/internal/policy/sharedbucket_test.go
+++ b/internal/policy/sharedbucket_test.go
@@ -131,11 +131,11 @@
 	// more is for uncoordinated decisions, at gateways that know nothing of the tenant yet.
 	for _, gateways := range []int{1, 3, 100, 277} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
-			if k := admittedByFleet(t, gateways, 3, 0); k < 120 || k > 252 {
-				t.Errorf("%v units admitted where the quota is 168", k)
+			if admitted := admittedByFleet(t, gateways, 3, 0); admitted < 120 || admitted > 252 {
+				t.Errorf("%v units admitted where the quota is 168", admitted)
 			}
-			if k := admittedByFleet(t, gateways, 0.4, 0); k < 50 {
-				t.Errorf("%v of 64 units admitted well inside the quota", k)
+			if admitted := admittedByFleet(t, gateways, 0.4, 0); admitted < 50 {
+				t.Errorf("%v of 64 units admitted well inside the quota", admitted)
 			}
 		})
 	}
@@ -143,8 +143,8 @@
 
 func TestFleetRoughlyHoldsQuotaWhenCounterRejectsMostCalls(t *testing.T) {
 	for _, gateways := range []int{3, 100} {
-		if k := admittedByFleet(t, gateways, 3, 0.8); k < 80 || k > 420 {
-			t.Errorf("%d gateways: %v units of 480 admitted where the quota is 168", gateways, k)
+		if admitted := admittedByFleet(t, gateways, 3, 0.8); admitted < 80 || admitted > 420 {
+			t.Errorf("%d gateways: %v units of 480 admitted where the quota is 168", gateways, admitted)
 		}
 	}
 }
