--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -6,41 +6,41 @@
 )
 
 const (
-	demandSmoothingFactor = 0.5         // weight of the newest interval: few units are mostly chance
-	minAllocationShare    = 0.7         // least part of the even split: no allocation of zero
-	uncoordinatedMultiple = 2.0         // times the even share, for allocations whose totals are not read
-	totalTolerance        = 1e-6        // part by which a total may miss what was added, from rounding
-	totalTTLMargin        = time.Second // for which the counter keeps an interval's total beyond two intervals
-	maxTotalTTL           = time.Minute // for which it is kept at most
+	demandSmoothingFactor = 0.5         // weight of the newest interval in a demand; the units of one interval vary at random
+	minAllocationShare    = 0.7         // least allocation, as a fraction of the even share; never zero, so that new demand is admitted
+	uncoordinatedMultiple = 2.0         // allocation for uncoordinated decisions of the shared bucket path, as a multiple of the even share
+	totalTolerance        = 1e-6        // fraction by which rounding may leave a total below the units added
+	totalTTLMargin        = time.Second // time for which the counter keeps an interval's total beyond two intervals
+	maxTotalTTL           = time.Minute // limit on the time for which the counter keeps an interval's total
 )
 
-// intervalPhase shifts a tenant's interval ends, alike at all gateways, to spread the
-// load on the counter.
+// intervalPhase returns the offset of a tenant's interval ends. It depends on the tenant's
+// key only, so that all gateways agree on it and the tenants' counter calls spread over time.
 func (t *tenantState) intervalPhase() Time { return Time(mix(t.key) % uint64(t.interval)) }
 
-// sinceFirstInterval returns the time since the tenant's interval 0 began, near the
-// clock's epoch.
+// sinceFirstInterval returns the time since the start of the tenant's interval 0, which
+// began intervalPhase after the clock's epoch.
 func (t *tenantState) sinceFirstInterval(now Time) Time { return now - t.intervalPhase() }
 
-// intervalIndexAt returns the index of the interval that runs at a time.
+// intervalIndexAt returns the index of the interval that contains a time.
 func (t *tenantState) intervalIndexAt(now Time) int64 {
 	return int64(t.sinceFirstInterval(now) / t.interval)
 }
 
-// intervalKey returns the counter key of the units offered in an interval, and for how
-// long the counter keeps them.
+// intervalKey returns the counter key for the fleet's total of units in an interval, and
+// how long the counter keeps that total.
 func (t *tenantState) intervalKey(index int64) (key uint64, ttl time.Duration) {
 	return mix(t.key^mix(uint64(index))) >> 1, min(2*t.interval+totalTTLMargin, maxTotalTTL)
 }
 
-// startIntervalTimer starts the timer for the end of the running interval. The clocks
-// of the gateways must agree within the counter's timeout.
+// startIntervalTimer starts the timer for the end of the running interval. The clocks of
+// the gateways must agree to within CounterTimeout.
 func (g *Gateway) startIntervalTimer(t *tenantState) {
 	end := t.intervalPhase() + Time(t.intervalIndex+1)*t.interval
 	g.startTimer(end-g.now, func() { g.endInterval(t) })
 }
 
-// endInterval begins a tenant's next interval and reports the one that ended.
+// endInterval starts a tenant's next interval and reports the units of the one that ended.
 func (g *Gateway) endInterval(t *tenantState) {
 	index, offered := t.intervalIndex, t.offered
 	unreported := t.offered - t.reported
@@ -71,16 +71,16 @@
 	t.reported = 0
 }
 
-// intervalReport adds what was offered in an ended interval to the fleet's total and
-// reads that total after a grace, when the other gateways have added theirs.
+// intervalReport adds the units offered here in an ended interval to the fleet's total and
+// reads that total CounterTimeout later, when the other gateways have added their units.
 type intervalReport struct {
 	gateway    *Gateway
 	tenant     *tenantState
 	key        uint64
 	ttl        time.Duration
-	offered    float64 // units offered in the interval
-	unreported float64 // the part that was not added during the interval
-	notAdded   float64 // units whose addition failed
+	offered    float64 // units offered here in the interval
+	unreported float64 // part of offered that no spare quota call has added to the counter
+	notAdded   float64 // units of an addition that failed
 }
 
 func (r *intervalReport) start() {
@@ -91,22 +91,22 @@
 	g.startTimer(g.set.CounterTimeout, r.readTotal)
 }
 
-// onAddReply takes the reply to the addition.
+// onAddReply handles the reply to the addition.
 func (r *intervalReport) onAddReply(reply CounterReplied) {
 	if reply.neverAdded() {
 		r.notAdded = r.unreported
 	}
 }
 
-// readTotal asks for the total, and makes up for an addition that failed.
+// readTotal reads the total and, in the same call, repeats an addition that failed.
 func (r *intervalReport) readTotal() {
 	r.gateway.addToCounter(r.key, r.notAdded, r.ttl, func(reply CounterReplied) {
 		r.tenant.applyIntervalTotal(r.gateway.now, r.offered, reply)
 	})
 }
 
-// applyIntervalTotal derives the next allocation from an interval's total. A counter that does
-// not answer, or that lost what was added here, leaves the demand as it was.
+// applyIntervalTotal derives the next allocation from an interval's total. The demand stays
+// as it was if the counter does not answer or has lost units that were added here.
 func (t *tenantState) applyIntervalTotal(now Time, offered float64, reply CounterReplied) {
 	t.refill(now)
 	t.totalStale = reply.Outcome != Succeeded || reply.Total < offered*(1-totalTolerance)
@@ -117,8 +117,8 @@
 	t.updateAllocation()
 }
 
-// updateAllocation sets the allocation from the demand. The token bucket keeps how full
-// it is.
+// updateAllocation sets the allocation from the demand. The token bucket is resized with
+// it and keeps its fill level.
 func (t *tenantState) updateAllocation() {
 	capacityBefore := t.tokenCapacity()
 	target, limit := t.targetAllocation()
@@ -128,25 +128,26 @@
 	}
 }
 
-// targetAllocation returns the allocation by demand alone, and the whole that all
-// gateways share: the local share of the fleet's demand while that exceeds the quota,
-// else the local demand and a part of what the fleet leaves.
+// targetAllocation returns the allocation by demand alone, before its bounds apply, and
+// the limit that all gateways together share. While the fleet's demand exceeds the quota,
+// the quota is divided in proportion to demand; otherwise the allocation is the local demand
+// and a part of the quota that the fleet does not use.
 func (t *tenantState) targetAllocation() (target, limit float64) {
 	quota := t.quota()
 	switch {
-	case quota == 0: // no rate: the allocation is a bare share, for the limit on concurrent attempts
+	case quota == 0: // no quota: the allocation is a fraction of the limit on concurrent attempts
 		if t.fleetDemand > 0 {
 			return t.localDemand / t.fleetDemand, 1
 		}
 		return 1 / t.gateways, 1
-	case t.usesSharedBucket(): // totals of such tenants are not read: some of what the others leave
+	case t.usesSharedBucket(): // demand is not measured for such tenants; the other gateways leave some of their shares
 		return uncoordinatedMultiple * quota / t.gateways, quota
 	case t.fleetDemand > quota:
 		return t.localDemand / t.fleetDemand * quota, quota
 	}
-	spareShare := 1 / t.gateways // an even one while totals fail
+	spareShare := 1 / t.gateways // an even share while totals are not available
 	if !t.totalStale {
-		spareShare = math.Sqrt(spareShare) // bursts seldom meet
+		spareShare = math.Sqrt(spareShare) // more than the even share: bursts at different gateways seldom coincide
 	}
 	return t.localDemand + (quota-t.fleetDemand)*spareShare, quota
 }
--- a/internal/policy/tenant.go
+++ b/internal/policy/tenant.go
@@ -6,42 +6,42 @@
 )
 
 const (
-	minInterval        = 500 * time.Millisecond // shorter ones cost more counter calls than they tell
-	maxInterval        = 10 * time.Second       // longer ones follow a shift of traffic too late
-	maxIdleIntervals   = 4                      // intervals without a request after which a tenant is forgotten
-	initialDemandShare = 0.5                    // part of the quota that a new tenant is taken to ask for
-	unitTolerance      = 1e-9                   // units; sums of fractions miss whole numbers by less
+	minInterval        = 500 * time.Millisecond // shorter intervals cost more counter calls than their totals are worth
+	maxInterval        = 10 * time.Second       // longer intervals adapt to a shift of traffic too late
+	maxIdleIntervals   = 4                      // intervals without a request after which a tenant's state may be dropped
+	initialDemandShare = 0.5                    // assumed fleet-wide demand of a new tenant, as a fraction of its quota
+	unitTolerance      = 1e-9                   // units; above the rounding error of sums of fractional units
 )
 
-// tenantState is what this gateway knows of one tenant's use of its plan.
+// tenantState is what this gateway knows about one tenant's use of its plan.
 type tenantState struct {
 	key      uint64
 	plan     *Plan
-	gateways float64 // gateways that share the tenant's requests
+	gateways float64 // number of gateways that receive the tenant's requests
 
 	largestRequest   float64 // units of the largest request seen
 	maxRequestUnits  float64 // units of the largest possible request; 0: not known
-	sharedBucketUsed bool    // a request was decided by the shared bucket before
+	sharedBucketUsed bool    // a request has taken the shared bucket path before
 	inFlight         int     // attempts without an outcome
 
-	interval              time.Duration // for which an allocation holds
-	intervalIndex         int64         // of the running interval, counted from the clock's epoch
-	intervalsSinceRequest int           // ended since the last request
-	offered               float64       // units of the running interval, those of rejected requests included
-	reported              float64       // the part of offered that a call for spare quota has added already
-	localDemand           float64       // units an interval offered here, smoothed
-	fleetDemand           float64       // units an interval offered to all gateways, smoothed
-	totalStale            bool          // the last total failed, or none came yet
-	lastOverQuotaInterval int64         // the last interval whose running total exceeded the quota
+	interval              time.Duration // time for which an allocation is valid
+	intervalIndex         int64         // index of the running interval, counted from the clock's epoch
+	intervalsSinceRequest int           // intervals that ended since the last request
+	offered               float64       // units requested here in the running interval, including rejected requests
+	reported              float64       // part of offered that spare quota calls have already added to the counter
+	localDemand           float64       // units requested here per interval, smoothed
+	fleetDemand           float64       // units requested at all gateways per interval, smoothed
+	totalStale            bool          // no total was read yet, or the last one was unusable
+	lastOverQuotaInterval int64         // index of the last interval whose running total left no usable quota
 
 	allocation   float64 // units of the quota that this gateway may admit in one interval
 	tokens       float64 // units left in the allocation's token bucket
-	refilledAt   Time    // when tokens and those of the hard limit were brought up to date
+	refilledAt   Time    // last refill of tokens and of the hard limit's bucket
 	hardLimit    hardLimitShare
-	sharedBucket bucketReading
+	sharedBucket bucketReading // last reading of the tenant's bucket at the counter
 }
 
-// tenant returns the state of a request's tenant, creating it for a new one.
+// tenant returns the state of a request's tenant, which it creates for a new tenant.
 func (g *Gateway) tenant(ev RequestReceived) *tenantState {
 	t := g.tenants[ev.Tenant]
 	if t == nil {
@@ -60,8 +60,8 @@
 	return t
 }
 
-// newTenantState returns the state of a tenant of which nothing is known: it starts with an
-// even share of the quota.
+// newTenantState returns the state of a tenant that this gateway has not seen lately. It
+// starts with an even share of the quota.
 func (g *Gateway) newTenantState(ev RequestReceived) *tenantState {
 	plan := &g.set.Plans[ev.Plan]
 	t := &tenantState{
@@ -85,8 +85,8 @@
 	return t
 }
 
-// allocationInterval returns for how long one allocation of the plan's quota holds: as long as a
-// full burst takes to refill, within bounds.
+// allocationInterval returns how long one allocation of the plan's quota is valid: the time
+// in which the quota's bucket refills, between minInterval and maxInterval.
 func (p *Plan) allocationInterval() time.Duration {
 	interval := maxInterval / 2
 	if p.Rate > 0 {
@@ -98,7 +98,8 @@
 // quota returns the units that all gateways together may admit in one interval.
 func (t *tenantState) quota() float64 { return t.plan.Rate * t.interval.Seconds() }
 
-// planShare returns the part of the tenant's plan that is this gateway's, at most 1.
+// planShare returns the fraction of the tenant's plan that is allocated to this gateway, at
+// most 1.
 func (t *tenantState) planShare() float64 {
 	if quota := t.quota(); quota > 0 {
 		return min(t.allocation/quota, 1)
@@ -106,13 +107,14 @@
 	return t.allocation
 }
 
-// tokenCapacity returns what the allocation's token bucket holds: its share of the
-// burst, but never less than a request.
+// tokenCapacity returns the capacity of the allocation's token bucket in units: its share
+// of the burst, but no less than the largest request as far as the burst allows.
 func (t *tenantState) tokenCapacity() float64 {
 	return min(t.plan.Burst, max(t.planShare()*t.plan.Burst, t.largestRequest))
 }
 
-// refill brings the tokens of the allocation and of the hard limit up to now.
+// refill adds the tokens gained since the last refill to the allocation's bucket and to the
+// hard limit's.
 func (t *tenantState) refill(now Time) {
 	elapsed := (now - t.refilledAt).Seconds()
 	t.refilledAt = now
@@ -120,8 +122,8 @@
 	t.hardLimit.refill(elapsed, t.usesSharedBucket())
 }
 
-// canEvict reports whether the state holds nothing that a new one would not: no
-// request came lately, none is in flight and the token buckets are full.
+// canEvict reports whether the state can be dropped and created anew without loss: no
+// request came lately, no attempt is in flight and the token buckets are full.
 func (t *tenantState) canEvict() bool {
 	return t.intervalsSinceRequest >= maxIdleIntervals && t.inFlight == 0 &&
 		t.tokens >= t.tokenCapacity()-unitTolerance && t.hardLimit.full(t.usesSharedBucket())
@@ -131,7 +133,7 @@
 // concurrent attempts have capacity for a request.
 func (t *tenantState) admits(units float64, isRetry bool) bool {
 	needed := units - unitTolerance
-	if isRetry { // first attempts go first: a retry has used up part of its objective and is often late
+	if isRetry { // first attempts have priority: a retry has used up part of its objective and is often late
 		needed += retryReserve * (t.tokenCapacity() - units)
 	}
 	return (t.plan.Rate == 0 || t.tokens >= needed) && t.withinLimits(units)
@@ -143,7 +145,8 @@
 	return t.hardLimit.allows(units) && t.withinConcurrencyLimit()
 }
 
-// withinConcurrencyLimit reports whether one more attempt may be in flight.
+// withinConcurrencyLimit reports whether this gateway's share of the limit on concurrent
+// attempts, at least 1, allows one more.
 func (t *tenantState) withinConcurrencyLimit() bool {
 	if t.plan.MaxConcurrent == 0 {
 		return true
