--- a/internal/policy/bucketreading.go
+++ b/internal/policy/bucketreading.go
@@ -6,46 +6,48 @@
 )
 
 const (
-	bucketEpochLength = 25 * time.Second // for which one counter key holds a tenant's bucket
-	bucketTTL         = time.Minute      // for which it is kept: also while the next one is in use
-	maxSurplus        = 0.25             // part of the burst by which a total may show more than a full bucket
-	lossThreshold     = 0.5              // part of the burst that a total must lack for the counter to have lost units
-	minCorrection     = 1.0              // units by which an estimate must be off for a call of its own
+	bucketEpochLength = 25 * time.Second // time for which one counter key holds a tenant's bucket
+	bucketTTL         = time.Minute      // time for which the counter keeps that key: long enough to read it in the next epoch
+	maxSurplus        = 0.25             // fraction of the burst by which a total may show more than a full bucket uncorrected
+	lossThreshold     = 0.5              // fraction of the burst by which a total must fall for the counter to have lost units
+	minCorrection     = 1.0              // units by which a charge must differ from the actual units to be corrected by a call
 )
 
-// bucketReading is what the counter last told of a tenant's shared bucket. The counter
-// holds the units taken in an epoch; the tokens left follow from the epoch's age.
+// bucketReading is the state of a tenant's shared bucket at the last reply of the counter.
+// The counter holds the units taken in an epoch; the tokens left follow from that total and
+// the epoch's age.
 type bucketReading struct {
-	epoch      int64   // that total is of
-	total      float64 // units taken in the epoch, those of this gateway included
+	epoch      int64   // epoch of the total
+	total      float64 // units taken in the epoch, including those of this gateway
 	tokens     float64 // units left in the bucket
-	sufficient bool    // it held the units of the request that asked
-	readAt     Time    // when; 0: never
+	sufficient bool    // the bucket held the units of the request that made the call
+	readAt     Time    // time of the reply; 0: no reply yet
 }
 
 func (b *bucketReading) known() bool { return b.readAt > 0 }
 
-// tokensAt returns the tokens at a later time if no gateway took any since.
+// tokensAt returns the tokens that the bucket holds at a later time if no gateway has taken
+// any since the reading.
 func (b *bucketReading) tokensAt(now Time, plan *Plan) float64 {
 	return b.tokens + (now-b.readAt).Seconds()*plan.Rate
 }
 
-// take counts units that this gateway took.
+// take records units that this gateway took after the reading.
 func (b *bucketReading) take(units float64) {
 	b.total += units
 	b.tokens -= units
 }
 
-// bucketPhase shifts a tenant's epochs, alike at all gateways, to spread the load on
-// the counter.
+// bucketPhase returns the offset of a tenant's epochs. It depends on the tenant's key only,
+// so that all gateways agree on it and the changes of epoch spread over time.
 func (t *tenantState) bucketPhase() Time { return Time(mix(t.key) % uint64(bucketEpochLength)) }
 
-// bucketEpoch returns the number of the tenant's running epoch.
+// bucketEpoch returns the index of the tenant's epoch at a time.
 func (t *tenantState) bucketEpoch(now Time) int64 {
 	return int64((now - t.bucketPhase()) / bucketEpochLength)
 }
 
-// bucketAge returns how long ago an epoch began.
+// bucketAge returns the time since an epoch began.
 func (t *tenantState) bucketAge(epoch int64, now Time) time.Duration {
 	return now - t.bucketPhase() - Time(epoch)*bucketEpochLength
 }
@@ -55,9 +57,9 @@
 	return mix(t.key^mix(^uint64(epoch))) >> 1
 }
 
-// applyBucketTotal takes the total of a tenant's bucket, without what the call itself added,
-// and returns the tokens left. It corrects the counter where the total shows more than
-// a full bucket, where units were lost, and in a new epoch.
+// applyBucketTotal records a tenant's bucket by its total at the counter, without the units
+// that the call itself added, and returns the tokens left. It corrects the counter's total
+// if that shows more than a full bucket, lacks units that were lost, or belongs to a new epoch.
 func (g *Gateway) applyBucketTotal(t *tenantState, epoch int64, total float64) float64 {
 	plan, key := t.plan, t.bucketKey(epoch)
 	refilled := t.bucketAge(epoch, g.now).Seconds() * plan.Rate
@@ -77,8 +79,8 @@
 	return tokens
 }
 
-// lostUnits returns the units that the counter had in this epoch and has no more, 0 if
-// it lost none to speak of.
+// lostUnits returns by how many units the counter's total for an epoch has fallen since the
+// last reading, or 0 if the difference is too small to be a loss.
 func (t *tenantState) lostUnits(epoch int64, total float64) float64 {
 	if !t.sharedBucket.known() || t.sharedBucket.epoch != epoch {
 		return 0
@@ -90,8 +92,8 @@
 	return lost
 }
 
-// settleBucketCharge corrects the bucket by the actual units of a request that was charged to it,
-// where the counter has calls to spare.
+// settleBucketCharge corrects the shared bucket by the actual units of a request that was
+// charged to it, if the counter has calls to spare.
 func (g *Gateway) settleBucketCharge(r *request, actualUnits float64) {
 	t := r.tenant
 	correction := actualUnits - r.units
@@ -102,7 +104,8 @@
 	g.addToCounter(t.bucketKey(t.bucketEpoch(g.now)), correction, bucketTTL, ignoreReply)
 }
 
-// carryOverTokens begins a new epoch with what the last one left in the bucket.
+// carryOverTokens starts a new epoch with the tokens that were left in the bucket at the
+// end of the last one.
 func (g *Gateway) carryOverTokens(t *tenantState, epoch int64) {
 	lastEpoch := epoch - 1
 	fullTokens := t.plan.Burst + t.bucketAge(lastEpoch, g.now).Seconds()*t.plan.Rate
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	demandSmoothingFactor = 0.5         // weight of the newest interval in a demand; the units of one interval vary at random
-	minAllocationShare    = 0.7         // least allocation, as a fraction of the even share; never zero, so that new demand is admitted
+	demandSmoothingFactor = 0.5         // weight of the newest interval in a demand; the few units of one interval vary at random
+	minAllocationShare    = 0.7         // least allocation, as a fraction of the even share, so that it is never zero
 	uncoordinatedMultiple = 2.0         // allocation for uncoordinated decisions of the shared bucket path, as a multiple of the even share
 	totalTolerance        = 1e-6        // fraction by which rounding may leave a total below the units added
 	totalTTLMargin        = time.Second // time for which the counter keeps an interval's total beyond two intervals
--- a/internal/policy/sharedbucket.go
+++ b/internal/policy/sharedbucket.go
@@ -1,11 +1,12 @@
 package policy
 
-// minLocalShare is the part of the largest request below which a gateway's even share
-// of an interval's quota is too small to allocate: what it would get is all chance.
+// minLocalShare is the fraction of the largest request below which a gateway's even share
+// of an interval's quota is too small for an allocation: whether a gateway gets a request
+// in an interval is then a matter of chance.
 const minLocalShare = 0.8
 
-// usesSharedBucket reports whether this gateway's part of the quota is too small for an
-// allocation, so that requests are admitted by the tenant's bucket at the counter.
+// usesSharedBucket reports whether this gateway's share of the quota is too small for an
+// allocation, so that the tenant's bucket at the counter admits requests.
 func (t *tenantState) usesSharedBucket() bool {
 	largest := t.maxRequestUnits
 	if largest == 0 {
@@ -14,20 +15,21 @@
 	return t.plan.Rate > 0 && t.quota() < minLocalShare*largest*t.gateways
 }
 
-// admitBySharedBucket decides a request of a tenant of whose quota less than a few
-// requests an interval fall to this gateway. One call adds the request's units to what
-// the tenant's gateways took in this epoch before the request is forwarded, and the sum
-// tells what is left in the bucket, which carries over from interval to interval; what
-// was not forwarded is taken off again.
+// admitBySharedBucket decides a request of a tenant whose quota gives this gateway less
+// than a few requests an interval. Before the request is forwarded, one call adds its units
+// to those that all gateways took in this epoch. The total tells how many tokens are left
+// in the tenant's bucket, which carries over from interval to interval. The units of a
+// request that is not forwarded are subtracted again.
 //
-// When the counter cannot serve all calls, those that are made are drawn by the value
-// at risk. The other decisions are uncoordinated: they go by this gateway's part of the
-// quota and by what became of the plan's counted requests. This could harm where the
-// counter is slow to answer.
+// When the counter cannot serve a call for each request, calls are made at random, with
+// a probability that grows with the value at risk. The other decisions are uncoordinated:
+// they depend on this gateway's share of the quota and on how often the plan's requests
+// that were checked at the counter were over quota. This may do harm where the counter is
+// slow to answer.
 func (g *Gateway) admitBySharedBucket(r *request, estimates *overQuotaEstimates) {
 	t := r.tenant
 	if t.sharedBucket.known() && t.sharedBucket.tokensAt(g.now, t.plan) < r.units-unitTolerance {
-		g.decide(r, false) // the other gateways can only have taken more
+		g.decide(r, false) // since the reading, other gateways can only have taken tokens
 		return
 	}
 	kind := t.evidenceFor(r)
@@ -54,7 +56,7 @@
 	call.start()
 }
 
-// evidenceFor returns what is known of the tenant's quota for a request.
+// evidenceFor returns the kind of evidence on which a request's estimate is based.
 func (t *tenantState) evidenceFor(r *request) evidence {
 	kind := noEvidence
 	switch {
@@ -73,21 +75,22 @@
 	return kind
 }
 
-// decideUncoordinated decides a request without the counter.
+// decideUncoordinated decides a request without the counter's total: by its risk, the local
+// tokens and the limits.
 func (g *Gateway) decideUncoordinated(r *request, risk overQuotaRisk) {
 	t := r.tenant
 	hasTokens := risk.cost <= 0 || t.tokens >= r.units-unitTolerance
 	g.decide(r, risk.favorsAdmission() && hasTokens && t.withinLimits(r.units))
 }
 
-// decideBySharedBucket decides a request by the shared bucket. This gateway's share of the
-// hard limit is kept for uncoordinated decisions: it neither binds the request nor is
-// it charged.
+// decideBySharedBucket forwards a request that the shared bucket granted, or rejects it.
+// This gateway's share of the hard limit is kept for uncoordinated decisions: the request
+// is neither limited by it nor charged to it.
 func (g *Gateway) decideBySharedBucket(r *request, granted bool) {
 	g.forwardOrReject(r, granted && r.tenant.withinConcurrencyLimit())
 }
 
-// sharedBucketCall takes units from a tenant's shared bucket for one request, which
+// sharedBucketCall takes units from a tenant's shared bucket for one request. The request
 // either waits for the reply or was decided before the call.
 type sharedBucketCall struct {
 	gateway   *Gateway
@@ -96,12 +99,12 @@
 	estimates *overQuotaEstimates
 	risk      overQuotaRisk
 	epoch     int64
-	units     float64 // the request's own, and those of the requests that made no call
+	units     float64 // units to take: the request's, scaled up for the requests that made no call
 }
 
 func (c *sharedBucketCall) start() {
 	g := c.gateway
-	if c.held.waiting { // the reply may come later than is good for the request
+	if c.held.waiting { // the reply may come later than the request can wait
 		g.startTimer(g.set.CounterTimeout, c.onTimeout)
 	}
 	g.addToCounter(c.key(), c.units, bucketTTL, c.onReply)
@@ -109,15 +112,16 @@
 
 func (c *sharedBucketCall) key() uint64 { return c.held.request.tenant.bucketKey(c.epoch) }
 
-// onTimeout decides the request when the counter did not reply in time.
+// onTimeout decides the request without the counter, which did not reply in time.
 func (c *sharedBucketCall) onTimeout() {
 	if c.held.release() {
 		c.gateway.decideUncoordinated(c.held.request, c.risk)
 	}
 }
 
-// onReply decides the request by what the bucket holds, learns from it, and returns the
-// units unless the request was forwarded and the bucket held them.
+// onReply decides the request by the tokens in the bucket, unless it was decided before, and
+// updates the estimates. It returns the units to the bucket unless the request was forwarded
+// and the bucket held them.
 func (c *sharedBucketCall) onReply(reply CounterReplied) {
 	g, r := c.gateway, c.held.request
 	t := r.tenant
