--- a/internal/policy/bucketreading.go
+++ b/internal/policy/bucketreading.go
@@ -8,7 +8,7 @@
 const (
 	bucketEpochLength = 25 * time.Second // time for which one counter key holds a tenant's bucket
 	bucketTTL         = time.Minute      // time for which the counter keeps that key: long enough to read it in the next epoch
-	maxSurplus        = 0.25             // fraction of the burst by which a total may show more than a full bucket uncorrected
+	maxSurplus        = 0.25             // fraction of the burst by which a total may show more than a full bucket before it is corrected
 	lossThreshold     = 0.5              // fraction of the burst by which a total must fall for the counter to have lost units
 	minCorrection     = 1.0              // units by which a charge must differ from the actual units to be corrected by a call
 )
@@ -104,8 +104,7 @@
 	g.addToCounter(t.bucketKey(t.bucketEpoch(g.now)), correction, bucketTTL, ignoreReply)
 }
 
-// carryOverTokens starts a new epoch with the tokens that were left in the bucket at the
-// end of the last one.
+// carryOverTokens starts a new epoch with the tokens that the last one left in the bucket.
 func (g *Gateway) carryOverTokens(t *tenantState, epoch int64) {
 	lastEpoch := epoch - 1
 	fullTokens := t.plan.Burst + t.bucketAge(lastEpoch, g.now).Seconds()*t.plan.Rate
--- a/internal/policy/hardlimit.go
+++ b/internal/policy/hardlimit.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-const hardLimitMargin = 0.98 // part of the hard limit's share in use, against rounding
+const hardLimitMargin = 0.98 // fraction of the hard limit that is shared out; the rest covers rounding
 
 // hardLimitShare is this gateway's local share of a tenant's hard limit: a token bucket
-// that needs no counter. The shares of all gateways add up to the limit, so that it
-// holds whatever the gateways know of each other.
+// that needs no counter. The shares of all gateways add up to at most the limit, so that
+// it holds whether or not the gateways know of each other's use.
 //
-// Where the tenant's quota is admitted by the shared bucket, that one bounds what it
-// grants: the shares are then of the rest of the limit only.
+// If the shared bucket admits the tenant's requests, it bounds the units that it grants;
+// the shares then divide only the rest of the limit.
 type hardLimitShare struct {
 	plan     *Plan
-	gateways float64
+	gateways float64 // number of gateways that share the limit
 	tokens   float64 // units left
 	withheld float64 // units that an earlier incarnation may have spent
 }
@@ -24,7 +24,7 @@
 	return s
 }
 
-// capacity returns this gateway's part of the limit's burst and tolerance.
+// capacity returns this gateway's share of the limit's burst and tolerance in units.
 func (s *hardLimitShare) capacity(sharedBucket bool) float64 {
 	total := s.plan.HardLimitBurst + s.plan.HardLimitTolerance
 	if sharedBucket {
@@ -33,7 +33,7 @@
 	return total / s.gateways * hardLimitMargin
 }
 
-// refillRate returns the units that the share gains in a second.
+// refillRate returns the units that the share gains per second.
 func (s *hardLimitShare) refillRate(sharedBucket bool) float64 {
 	total := s.plan.HardLimitRate
 	if sharedBucket {
@@ -42,19 +42,20 @@
 	return total / s.gateways * hardLimitMargin
 }
 
-// refill adds what the share gained in some seconds.
+// refill adds the units that the share gains in elapsed seconds.
 func (s *hardLimitShare) refill(elapsed float64, sharedBucket bool) {
 	s.tokens = min(s.capacity(sharedBucket), s.tokens+elapsed*s.refillRate(sharedBucket))
 }
 
-// withhold takes an earlier incarnation to have spent the whole share before this one
-// started: what it truly spent is not known. Only what the uptime refilled is left.
+// withhold removes the units that an earlier incarnation may have spent. How many it spent
+// is not known, so only the units refilled during this incarnation's uptime are left.
 func (s *hardLimitShare) withhold(uptime time.Duration, sharedBucket bool) {
 	s.tokens = min(s.tokens, uptime.Seconds()*s.refillRate(sharedBucket))
 	s.withheld = s.capacity(sharedBucket) - s.tokens
 }
 
-// release gives back what was withheld: there was no earlier incarnation.
+// release gives back the withheld units, once it is known that there was no earlier
+// incarnation.
 func (s *hardLimitShare) release() {
 	s.tokens += s.withheld
 	s.withheld = 0
@@ -68,7 +69,7 @@
 // take spends units of the share.
 func (s *hardLimitShare) take(units float64) { s.tokens -= units }
 
-// full reports whether the share is as full as a new one.
+// full reports whether the share holds as many units as a new one.
 func (s *hardLimitShare) full(sharedBucket bool) bool {
 	return s.tokens >= s.capacity(sharedBucket)-unitTolerance
 }
--- a/internal/policy/overquota.go
+++ b/internal/policy/overquota.go
@@ -1,31 +1,31 @@
 package policy
 
 const (
-	estimateSmoothingFactor = 0.05        // weight of one counted request in an estimate
-	initialOverQuotaShare   = 0.3         // share of first attempts taken to be over quota at first
-	minOverQuotaLoss        = minCallRate // least loss that a request over quota is taken to cost
-	minRelativeRisk         = 0.2         // least weight of the value at risk in the probability of a call
+	estimateSmoothingFactor = 0.05        // weight of one request checked at the counter in an estimate
+	initialOverQuotaShare   = 0.3         // initial estimate of the share of first attempts over quota; the rest is the one for retries
+	minOverQuotaLoss        = minCallRate // least expected loss from forwarding a request, as a fraction of its value
+	minRelativeRisk         = 0.2         // least value at risk, relative to the mean, that the probability of a call assumes
 )
 
-// evidence is what this gateway knows of a tenant's quota when a request comes. A
-// request's chance to be over quota is estimated for each kind of evidence by itself,
-// with retries apart: they mostly follow a rejection.
+// evidence is the kind of knowledge that this gateway has of a tenant's quota when a
+// request comes. The probability that a request is over quota is estimated for each kind,
+// and for retries apart, since most of them follow a rejection.
 type evidence int
 
 const (
-	noEvidence           evidence = iota // the tenant's first request here
-	localTokensExhausted                 // this gateway's part of the quota is used up
-	localTokensLeft                      // it is not
-	bucketSufficient                     // the shared bucket had the units when last read
-	bucketInsufficient                   // it had not
-	evidenceKinds                        // the number of kinds
+	noEvidence           evidence = iota // the tenant's first request at this gateway
+	localTokensExhausted                 // this gateway's share of the quota is used up
+	localTokensLeft                      // this gateway's share of the quota suffices
+	bucketSufficient                     // the shared bucket held enough units at the last reading
+	bucketInsufficient                   // the shared bucket held too few units at the last reading
+	evidenceKinds                        // number of kinds
 )
 
 // forRetry returns the evidence of the same kind for a retry.
 func (e evidence) forRetry() evidence { return e + evidenceKinds }
 
-// overQuotaEstimates are the estimated shares of requests over quota by evidence, over
-// all tenants of a plan.
+// overQuotaEstimates holds the estimated share of requests over quota for each kind of
+// evidence, over all tenants of a plan.
 type overQuotaEstimates [2 * evidenceKinds]float64
 
 func newOverQuotaEstimates() overQuotaEstimates {
@@ -37,7 +37,7 @@
 	return estimates
 }
 
-// observe takes the counter's word on one request into account.
+// observe updates an estimate with the counter's result for one request.
 func (s *overQuotaEstimates) observe(e evidence, overQuota bool) {
 	s[e] *= 1 - estimateSmoothingFactor
 	if overQuota {
@@ -45,11 +45,11 @@
 	}
 }
 
-// overQuotaModel tells by the outcomes of counted requests what uncoordinated decisions
-// risk, so that the calls that the counter can serve go where most is at stake.
+// overQuotaModel estimates from requests checked at the counter what uncoordinated decisions
+// risk, so that the calls that the counter can serve are spent where most value is at risk.
 type overQuotaModel struct {
-	byPlan          []overQuotaEstimates
-	meanValueAtRisk float64 // mean value at risk in a decision
+	byPlan          []overQuotaEstimates // by index of the plan
+	meanValueAtRisk float64              // mean value at risk of a decision, smoothed
 }
 
 func newOverQuotaModel(plans int) overQuotaModel {
@@ -60,26 +60,26 @@
 	return model
 }
 
-// callProbability returns with what probability a decision calls the counter, by the
-// value at risk in it and the rate at which the counter may be called.
+// callProbability returns the probability that a decision calls the counter, from its value
+// at risk and the share of decisions that may call.
 func (m *overQuotaModel) callProbability(valueAtRisk, callRate float64) float64 {
 	probability := min(1, callRate*max(valueAtRisk/m.meanValueAtRisk, minRelativeRisk))
 	m.meanValueAtRisk += estimateSmoothingFactor * (valueAtRisk - m.meanValueAtRisk)
 	return probability
 }
 
-// overQuotaRisk are the odds of one decision that does not know the shared bucket.
+// overQuotaRisk is the risk of forwarding one request without knowing the shared bucket.
 type overQuotaRisk struct {
 	probability float64 // probability that the request is over quota
-	cost        float64 // what forwarding it then costs, as a share of its value
+	cost        float64 // cost of forwarding it if so, as a fraction of its value
 }
 
-// favorsAdmission reports whether forwarding the request is expected to gain more than
-// it costs.
+// favorsAdmission reports whether the expected value of forwarding the request exceeds the
+// expected cost.
 func (o overQuotaRisk) favorsAdmission() bool { return 1-o.probability > o.probability*o.cost }
 
-// valueAtRisk returns the value that an uncoordinated decision loses at most: that of a
-// request which was rejected within the quota, or forwarded over it.
+// valueAtRisk returns the expected loss of an uncoordinated decision: the lesser of those
+// from rejecting a request within the quota and from forwarding one over it.
 func (o overQuotaRisk) valueAtRisk(r *request) float64 {
 	return min(1-o.probability, max(o.probability*o.cost, minOverQuotaLoss)) *
 		r.units * r.class.PriorityWeight * r.tenant.plan.PriorityWeight
--- a/internal/policy/sparequota.go
+++ b/internal/policy/sparequota.go
@@ -1,24 +1,24 @@
 package policy
 
-// usableQuotaShare is the part of the quota up to which a gateway whose allocation is
-// used up may use what the others leave.
+// usableQuotaShare is the fraction of the quota up to which a gateway whose allocation is
+// used up may use quota that the other gateways leave.
 const usableQuotaShare = 0.8
 
-// spareQuotaCall asks the counter for the running total of the interval, to admit one
-// request by quota that the other gateways have left so far. It adds what was offered
+// spareQuotaCall reads the running total of the interval from the counter, to admit one
+// request from quota that the other gateways have left so far. It adds the units offered
 // here up to then; the end of the interval adds the rest.
 type spareQuotaCall struct {
 	gateway  *Gateway
 	held     heldRequest
 	interval int64   // index of the interval that was running at the call
-	elapsed  Time    // of that interval at the call
-	offered  float64 // units offered here in the interval, all of them added after the call
-	added    float64 // units added by the call
+	elapsed  Time    // time since the start of that interval at the call
+	offered  float64 // units offered here in the interval before the call
+	added    float64 // units that the call adds, which no earlier call has added
 }
 
-// requestSpareQuota asks for spare quota where the allocation is used up though the
-// tenant is not known to exceed its quota. It reports whether the request is held for
-// the reply; if not, nothing was done.
+// requestSpareQuota holds a request that the allocation does not admit and asks for spare
+// quota, unless the tenant is known to exceed its quota. It reports whether the request is
+// held for the reply; if not, nothing was done.
 func (g *Gateway) requestSpareQuota(r *request) bool {
 	t := r.tenant
 	if !g.set.CounterEnabled || !t.mayHaveSpareQuota(g.now) {
@@ -45,21 +45,22 @@
 	return true
 }
 
-// mayHaveSpareQuota reports whether nothing known speaks against quota that is left in
-// the running interval. A late timer may not have ended that interval yet.
+// mayHaveSpareQuota reports whether the running interval may have quota left, as far as
+// known. It is false for an interval that is over but was not ended yet by a late timer.
 func (t *tenantState) mayHaveSpareQuota(now Time) bool {
 	return t.plan.Rate != 0 && !t.totalStale && t.fleetDemand <= t.quota() &&
 		t.lastOverQuotaInterval != t.intervalIndex && t.intervalIndexAt(now) == t.intervalIndex
 }
 
-// onTimeout rejects the request when the counter did not reply in time.
+// onTimeout rejects the request, as the counter did not reply in time.
 func (c *spareQuotaCall) onTimeout() {
 	if c.held.release() {
 		c.gateway.decide(c.held.request, false)
 	}
 }
 
-// onReply grants the request its units, and the allocation its part of what is left.
+// onReply decides the request. If the quota has units left, it adds the request's units and
+// this gateway's share of the rest to the allocation's tokens.
 func (c *spareQuotaCall) onReply(reply CounterReplied) {
 	g, r := c.gateway, c.held.request
 	t := r.tenant
@@ -80,8 +81,8 @@
 }
 
 // spareQuota returns the units that the fleet has left of the interval's usable quota,
-// by its running total. Gateways that have allocation left have reported nothing yet of
-// this interval: their last demand stands for it.
+// by its running total; below 0 if it has used more. Gateways with allocation left have
+// reported nothing for this interval yet, so their last demand is assumed to continue.
 func (c *spareQuotaCall) spareQuota(total float64) float64 {
 	t := c.held.request.tenant
 	elapsed := float64(c.elapsed) / float64(t.interval)
