--- a/internal/policy/quota_test.go
+++ b/internal/policy/quota_test.go
@@ -8,14 +8,14 @@
 )
 
 func TestInitialAllocationIsAnEvenShare(t *testing.T) {
-	// Burst 8 over 3 gateways: 2.67 units, two requests of one unit.
+	// A burst of 8 units over 3 gateways is 2.67 units each: two requests of one unit.
 	if admitted := newHarness(t, settings(), 6).countAdmitted(8, 0, 1); admitted < 2 || admitted > 4 {
-		t.Errorf("a new tenant got %d units at once of a burst of 8 shared by 3", admitted)
+		t.Errorf("new tenant: %d units admitted at once, want 2 to 4 (a third of the burst of 8)", admitted)
 	}
 }
 
-// admittedAtSteadyDemand offers 5 units an interval of 2 s and returns the units admitted
-// over the last 20 s.
+// admittedAtSteadyDemand offers 5 units per interval of 2 s for 40 s and returns the units
+// admitted over the last 20 s.
 func admittedAtSteadyDemand(h *harness, reply replyFunc) (units int) {
 	for i := range 100 {
 		h.advance(400*ms, reply)
@@ -27,19 +27,19 @@
 }
 
 func TestAllocationFollowsTheDemandShareOverQuota(t *testing.T) {
-	// The quota of an interval is 4·2 = 8. Local demand 5 of fleet demand 10: 5/10·8 = 4 an interval, 40 in 20 s.
+	// The quota of an interval is 4·2 = 8 units. Local demand 5 of fleet demand 10: 5/10·8 = 4 per interval, 40 in 20 s.
 	if admitted := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(10)); admitted < 37 || admitted > 43 {
-		t.Errorf("half of the demand got %d of 80 units, want about 40", admitted)
+		t.Errorf("half of the fleet's demand: %d units admitted, want 37 to 43 of the quota of 80", admitted)
 	}
-	// 5 of 20 falls to 5/20·8 = 2, above the floor of 0.7·8/3 = 1.87: 20 in 20 s.
+	// Local demand 5 of fleet demand 20: 5/20·8 = 2 per interval, above the least allocation of 0.7·8/3 = 1.87; 20 in 20 s.
 	if admitted := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(20)); admitted < 17 || admitted > 23 {
-		t.Errorf("a quarter of the demand got %d of 80 units, want about 20", admitted)
+		t.Errorf("a quarter of the fleet's demand: %d units admitted, want 17 to 23 of the quota of 80", admitted)
 	}
 }
 
 func TestDemandWithinQuotaIsAdmitted(t *testing.T) {
 	if admitted := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(6)); admitted < 49 {
-		t.Errorf("below the quota %d of 50 units were admitted", admitted)
+		t.Errorf("fleet demand below the quota: %d of 50 offered units admitted, want at least 49", admitted)
 	}
 }
 
@@ -51,7 +51,7 @@
 		h := newHarness(t, settings(), 6)
 		admittedAtSteadyDemand(h, replyWithTotal(20))
 		if admitted := admittedAtSteadyDemand(h, reply); admitted > 24 {
-			t.Errorf("%s: %d of 80 units admitted, the last allocation was 20", name, admitted)
+			t.Errorf("%s counter: %d units admitted, want at most 24, near the last allocation of 20", name, admitted)
 		}
 	}
 }
@@ -66,13 +66,13 @@
 		return overloaded(call)
 	})
 	if len(calls) != 2 || calls[0].Units != 2 || calls[1] != calls[0] {
-		t.Errorf("calls %v: want the read to add what the add did not", calls)
+		t.Errorf("counter calls %v, want a failed add of 2 units and a read that repeats it", calls)
 	}
 }
 
 func TestHardLimitHoldsAcrossRestarts(t *testing.T) {
-	// Whatever earlier incarnations spent, each new one starts with nothing of the hard limit: it finds their
-	// record at the counter, and where the counter does not respond it takes the record to be there.
+	// An incarnation does not know how much of the hard limit earlier ones spent, so it starts with none of it left:
+	// it finds their record at the counter, or assumes that there is one if the counter does not respond.
 	units, counter := 0, fakeCounter{}
 	for incarnation := range 5 {
 		reply := counter.add
@@ -85,53 +85,53 @@
 			h.advance(100*ms, reply)
 		}
 	}
-	// One of three gateways, 10 s: a third of burst and tolerance, and of the rate.
+	// The share of one of three gateways over 10 s: a third of burst and tolerance, and of the rate.
 	if most := 5 + 2*10; units > most {
-		t.Errorf("%d units over five incarnations, at most %d are this gateway's share", units, most)
+		t.Errorf("%d units admitted over five incarnations, want at most this gateway's share of %d", units, most)
 	}
 	if units == 0 {
-		t.Error("nothing was admitted at all")
+		t.Error("no units admitted over five incarnations, want some")
 	}
 }
 
 func TestFirstIncarnationStartsWithItsHardLimitShare(t *testing.T) {
-	// With no record of an earlier incarnation the share is there at once, not only after its refill.
+	// Without a record of an earlier incarnation the whole share is available at once, not only after its refill.
 	h, counter := newHarness(t, settings(), 6), fakeCounter{}
 	h.countAdmitted(1, 2, 9)
 	h.advance(50*ms, counter.add)
 	if units := h.countAdmitted(20, 2, 9); units < 4 {
-		t.Errorf("%d units admitted, the share holds 4.9 of burst and tolerance", units)
+		t.Errorf("first incarnation: %d units admitted, want at least 4 of the share of 4.9", units)
 	}
-	// The record goes on through changes of its key: an incarnation that follows a long one finds it.
+	// The record is kept when its counter key changes: an incarnation that follows a long one finds it.
 	h.advance(65*time.Second, counter.add)
 	h = newHarnessAt(t, h.now+time.Second, settings(), 6)
 	units := h.countAdmitted(1, 2, 9)
 	h.advance(50*ms, counter.add)
 	if units += h.countAdmitted(20, 2, 9); units > 1 {
-		t.Errorf("%d units admitted at once after a restart", units)
+		t.Errorf("restarted incarnation: %d units admitted at once, want at most 1", units)
 	}
 }
 
 func TestRetriesLeaveTokensForFirstAttempts(t *testing.T) {
-	// Found on quiet days: late retries used up tokens that first attempts then lacked.
+	// Late retries must not use up tokens that first attempts then lack, as they did under low load.
 	h := newHarness(t, settings(), 6)
 	retryAdmitted := func() bool {
 		_, actions := h.receiveEvent(policy.RequestReceived{Tenant: 1, Timeout: time.Second, Units: 1, TenantGateways: 3, IsRetry: true})
 		return h.succeedAll(startedAttempts(actions)) > 0
 	}
 	if !retryAdmitted() {
-		t.Error("a retry was rejected by a full token bucket")
+		t.Error("retry rejected though the token bucket is full")
 	}
 	if retryAdmitted() {
-		t.Error("a retry was admitted by a token bucket that is partly used")
+		t.Error("retry admitted though the token bucket is partly used")
 	}
 	if h.countAdmitted(1, 0, 1) != 1 {
-		t.Error("a first attempt was rejected by the same token bucket")
+		t.Error("first attempt rejected though the token bucket is only partly used")
 	}
 }
 
 func TestFailingCounterIsCalledLess(t *testing.T) {
-	// Found in incidents i8728b4 and if8a11d: a counter that is outgrown fails all calls.
+	// A counter that gets more calls than it can serve may fail all of them.
 	calls := func(outcome policy.Outcome) (count int) {
 		h := newHarness(t, settings(), 6)
 		for range 100 {
@@ -145,26 +145,26 @@
 	}
 	succeeding, overloaded := calls(policy.Succeeded), calls(policy.Overloaded)
 	if overloaded*2 > succeeding || overloaded == 0 {
-		t.Errorf("%d calls in 40 s while they fail, %d while they succeed", overloaded, succeeding)
+		t.Errorf("%d calls in 40 s if all fail and %d if all succeed, want at least one and at most half as many if they fail", overloaded, succeeding)
 	}
 }
 
 func TestLimitOnConcurrentAttempts(t *testing.T) {
-	// 3 concurrent attempts over 3 gateways: one in flight here.
+	// A limit of 3 concurrent attempts over 3 gateways allows one in flight at each.
 	h := newHarness(t, settings(), 6)
 	id, actions := h.receive(0, 3, 5, 1)
 	first := startedAttempts(actions)
 	if _, actions := h.receive(0, 3, 5, 1); len(first) != 1 || !hasAction[policy.Reject](actions) {
-		t.Fatal("want one attempt in flight and the next request rejected")
+		t.Fatalf("first request started %d attempts, second request got actions %v, want 1 attempt and a rejection", len(first), actions)
 	}
 	h.succeed(id, first[0])
 	if _, actions := h.receive(0, 3, 5, 1); len(startedAttempts(actions)) != 1 {
-		t.Error("rejected though nothing is in flight")
+		t.Error("request rejected though no attempt is in flight")
 	}
 }
 
 func TestAllocationIsChargedActualUnits(t *testing.T) {
-	// A third of the burst of 8 is 2.67; an estimate of 1 that truly was 3 leaves less than nothing.
+	// A third of the burst of 8 is 2.67 units; a request that was charged 1 unit and used 3 leaves none of it.
 	for units, want := range map[float64]int{1: 1, 3: 0} {
 		set := settings()
 		set.ActualUnitsReported = true
@@ -173,13 +173,13 @@
 		h.step(policy.AttemptEnded{RequestID: id, Endpoint: startedAttempts(actions)[0].Endpoint, Outcome: policy.Succeeded, Latency: 20 * ms, RequestDone: true,
 			ActualUnits: units})
 		if admitted := h.countAdmitted(1, 0, 1); admitted != want {
-			t.Errorf("after %v actual units %d requests admitted, want %d", units, admitted, want)
+			t.Errorf("after a request of %v actual units: %d requests admitted, want %d", units, admitted, want)
 		}
 	}
 }
 
 func TestLateAddRepliesKeepTheAllocation(t *testing.T) {
-	// The replies to adds come too late, yet the adds arrived, and the reads tell the total.
+	// The replies to adds time out although the counter added the units, and the reads return the total.
 	h := newHarness(t, settings(), 6)
 	admitted := admittedAtSteadyDemand(h, func(call policy.AddToCounter) policy.CounterReplied {
 		if call.Units > 0 {
@@ -188,7 +188,7 @@
 		return policy.CounterReplied{Key: call.Key, Total: 20}
 	})
 	if admitted < 14 || admitted > 24 {
-		t.Errorf("a quarter of the demand got %d of 80 units, want about 20", admitted)
+		t.Errorf("a quarter of the fleet's demand: %d units admitted, want 14 to 24 of the quota of 80", admitted)
 	}
 }
 
@@ -197,45 +197,45 @@
 	set.CounterEnabled = false
 	h := newHarness(t, set, 6)
 	units := 0
-	for range 200 { // 20 s: a third of 4 units a second, and of the burst
+	for range 200 { // 20 s: a third of 4 units per second and of the burst of 8
 		h.advance(100*ms, nil)
 		units += h.countAdmitted(1, 0, 1)
 	}
 	if len(h.counterCalls) > 0 || units < 25 || units > 31 {
-		t.Errorf("%d units admitted with %d calls, want about 29 and none", units, len(h.counterCalls))
+		t.Errorf("%d units admitted with %d counter calls, want 25 to 31 and none", units, len(h.counterCalls))
 	}
 }
 
 func TestExhaustedAllocationUsesSpareQuota(t *testing.T) {
-	// An allocation that is used up while the others' demand is low: one call tells whether the quota has spare.
+	// If the allocation is used up while the demand at other gateways was low, one call finds out whether they left quota.
 	for _, test := range []struct {
 		name   string
-		others float64 // units that the other gateways added to the running total
+		others float64 // units that other gateways added to the running total
 		reply  policy.Outcome
 		want   bool
 	}{
-		{"the others left all", 0, policy.Succeeded, true},
-		{"the others used all", 100, policy.Succeeded, false},
-		{"the counter does not respond", 0, policy.TimedOut, false},
+		{"other gateways used none", 0, policy.Succeeded, true},
+		{"other gateways used all", 100, policy.Succeeded, false},
+		{"counter does not respond", 0, policy.TimedOut, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			set := settings()
 			set.Plans[0] = policy.Plan{Rate: 10, Burst: 20, PriorityWeight: 1}
 			h, counter := newHarness(t, set, 6), fakeCounter{}
-			for range 40 { // well under the quota, by the totals as well
+			for range 40 { // well under the quota, also by the totals
 				h.countAdmitted(1, 0, 9)
 				h.advance(500*ms, counter.add)
 			}
 			call := callForSpareQuota(t, h)
 			actions := h.step(policy.CounterReplied{Key: call.Key, Outcome: test.reply, Total: counter.add(call).Total + test.others})
 			if got := len(startedAttempts(actions)) > 0; got != test.want {
-				t.Errorf("admitted %v, want %v", got, test.want)
+				t.Errorf("held request admitted: %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// callForSpareQuota hands over requests until one is held for a counter call, which it returns.
+// callForSpareQuota hands over requests until one is held for a counter call, and returns that call.
 func callForSpareQuota(t *testing.T, h *harness) policy.AddToCounter {
 	t.Helper()
 	for i := 0; ; i++ {
@@ -244,7 +244,7 @@
 			continue
 		}
 		if hasAction[policy.Reject](actions) || !hasAction[policy.AddToCounter](actions) {
-			t.Fatalf("request %d: no call before a rejection: %v", i, actions)
+			t.Fatalf("request %d got actions %v, want it held for a counter call", i, actions)
 		}
 		return h.lastCounterCall()
 	}
--- a/internal/policy/sharedbucket_test.go
+++ b/internal/policy/sharedbucket_test.go
@@ -9,19 +9,19 @@
 	"swiftpitch/internal/policy"
 )
 
-// sharedBucketRequest is a request of one unit of a tenant that 100 gateways share: of the quota of 8 an interval,
-// one gateway has less than a request.
+// sharedBucketRequest returns a request of one unit of a tenant whose requests come through 100 gateways: of the
+// quota of 8 units per interval, the share of one gateway is less than a request.
 func sharedBucketRequest(tenant uint64, timeout time.Duration) policy.RequestReceived {
 	return policy.RequestReceived{Tenant: tenant, Timeout: timeout, Units: 1, TenantGateways: 100}
 }
 
-// isDecided reports whether a request is admitted or rejected by actions, and not held.
+// isDecided reports whether actions admit or reject a request, which is otherwise held.
 func isDecided(actions []policy.Action) bool {
 	return len(startedAttempts(actions)) > 0 || hasAction[policy.Reject](actions)
 }
 
 func TestSharedBucketDecidesForSmallShares(t *testing.T) {
-	// Of a quota of 8 an interval one of 100 gateways has less than a request: the total decides, not an allocation.
+	// The total at the counter decides, not an allocation, if a gateway's share of the quota is less than a request.
 	decide := func(total float64, timeout time.Duration) (calls, admitted int) {
 		set := settings()
 		set.Plans[0].OverQuotaCost, set.CounterTimeout = 1, 400*ms
@@ -31,7 +31,7 @@
 			if hasAction[policy.AddToCounter](actions) {
 				calls++
 				if len(startedAttempts(actions)) > 0 && timeout > time.Second {
-					t.Error("forwarded before the total was read")
+					t.Errorf("request %d forwarded before the reply to its counter call", i)
 				}
 				call := h.lastCounterCall()
 				actions = append(actions, h.step(policy.CounterReplied{Key: call.Key, Total: total * call.Units})...)
@@ -41,19 +41,19 @@
 		return calls, admitted
 	}
 	if calls, admitted := decide(1, 2*time.Second); calls < 10 || admitted != 40 {
-		t.Errorf("%d calls, %d of 40 admitted by an unused quota", calls, admitted)
+		t.Errorf("unused quota: %d calls and %d of 40 requests admitted, want at least 10 and all 40", calls, admitted)
 	}
 	if calls, admitted := decide(1000, 2*time.Second); admitted > 40-calls {
-		t.Errorf("%d calls, %d of 40 admitted over the quota", calls, admitted)
+		t.Errorf("quota used up: %d calls and %d of 40 requests admitted, want at most %d, those without a call", calls, admitted, 40-calls)
 	}
 	if _, admitted := decide(1000, 700*ms); admitted == 0 {
-		t.Error("near the client's deadline a request must not wait for the counter")
+		t.Error("client deadline near: no request admitted, want some decided without waiting for the counter")
 	}
 }
 
 func TestRequestIsHeldNoLongerThanCounterTimeout(t *testing.T) {
-	// The caller may wait for the counter for longer than CounterTimeout; a request is held no longer than that, and
-	// a total that comes later decides it no more.
+	// A counter call may take longer than CounterTimeout. A request is held no longer than that, and a total that comes
+	// later does not decide it again.
 	h := newHarness(t, settings(), 6)
 	held := 0
 	for i := range 40 {
@@ -65,32 +65,34 @@
 		call := h.lastCounterCall()
 		actions = h.advance(30*ms, nil)
 		if !isDecided(actions) {
-			t.Fatal("a request is still held after CounterTimeout")
+			t.Fatalf("request %d still held after CounterTimeout", i)
 		}
 		if actions = h.step(policy.CounterReplied{Key: call.Key, Total: 1}); isDecided(actions) {
-			t.Fatal("a request is decided twice")
+			t.Fatalf("request %d decided again by a late reply", i)
 		}
 	}
 	if held == 0 {
-		t.Error("no request was held at all")
+		t.Error("no request held, want some")
 	}
 }
 
 func TestNoRequestIsHeldAfterAStall(t *testing.T) {
-	// Found on milano big-2: the backlog of a gateway that had stalled was held past the clients' deadlines.
+	// After a stall, a gateway works through a backlog of old requests. Holding these for counter calls would take them
+	// past the deadlines of their clients.
 	h := newHarness(t, settings(), 6)
 	h.advance(time.Second, replyWithTotal(0))
-	h.now += 2 * time.Second // events come late
+	h.now += 2 * time.Second // no event is handled in this time
 	for i := range 20 {
 		_, actions := h.receiveEvent(sharedBucketRequest(uint64(i), time.Second))
 		if !isDecided(actions) {
-			t.Fatal("a request is held by a gateway that stalls now and then")
+			t.Fatalf("request %d held after a stall, want it decided at once", i)
 		}
 	}
 }
 
-// admittedByFleet offers a tenant's requests of one unit, at times the quota of 4 a second, through a number of
-// gateways for 40 s before a shared counter, which rejects a part of their calls, and returns the units admitted.
+// admittedByFleet offers a tenant's requests of one unit through a number of gateways for 40 s, at a multiple of the
+// quota of 4 units per second, and returns the units admitted. The gateways share a counter that rejects a share of
+// their calls.
 func admittedByFleet(t *testing.T, gateways int, demandMultiple float64, rejectedShare float64) (units float64) {
 	t.Helper()
 	set := settings()
@@ -110,7 +112,7 @@
 	}
 	for i := range int(160 * demandMultiple) {
 		at := 1000*time.Second + time.Duration(float64(i)/(4*demandMultiple)*1e9)
-		for now < at { // in steps shorter than CounterTimeout, so that adds come before reads
+		for now < at { // in steps shorter than CounterTimeout, so that all gateways add their units before any reads the total
 			now = min(now+20*ms, at)
 			for _, h := range harnesses {
 				if h.now < now {
@@ -127,15 +129,16 @@
 }
 
 func TestFleetHoldsQuotaForAnyNumberOfGateways(t *testing.T) {
-	// The burst of 8 is far below the largest numbers. 40 s at 4 units a second and the burst are 168 units; half
-	// more is for uncoordinated decisions, at gateways that know nothing of the tenant yet.
+	// The burst of 8 units is far below one request per gateway at the largest fleets. 40 s at 4 units per second and
+	// the burst are 168 units; half of that on top is the tolerance for uncoordinated decisions at gateways that know
+	// nothing about the tenant yet.
 	for _, gateways := range []int{1, 3, 100, 277} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			if admitted := admittedByFleet(t, gateways, 3, 0); admitted < 120 || admitted > 252 {
-				t.Errorf("%v units admitted where the quota is 168", admitted)
+				t.Errorf("demand of 3 times the quota: %v units admitted, want 120 to 252, near the quota of 168", admitted)
 			}
 			if admitted := admittedByFleet(t, gateways, 0.4, 0); admitted < 50 {
-				t.Errorf("%v of 64 units admitted well inside the quota", admitted)
+				t.Errorf("demand of 0.4 times the quota: %v of 64 units admitted, want at least 50", admitted)
 			}
 		})
 	}
@@ -144,7 +147,7 @@
 func TestFleetRoughlyHoldsQuotaWhenCounterRejectsMostCalls(t *testing.T) {
 	for _, gateways := range []int{3, 100} {
 		if admitted := admittedByFleet(t, gateways, 3, 0.8); admitted < 80 || admitted > 420 {
-			t.Errorf("%d gateways: %v units of 480 admitted where the quota is 168", gateways, admitted)
+			t.Errorf("%d gateways: %v of 480 units admitted, want 80 to 420, where the quota is 168", gateways, admitted)
 		}
 	}
 }
@@ -153,7 +156,7 @@
 	for units, want := range map[float64]float64{1: 1, 3: 3} {
 		set := settings()
 		set.ActualUnitsReported, set.Plans[0].OverQuotaCost = true, 1
-		// largestTotal returns the largest total of the counter, which holds the bucket, after one request.
+		// largestTotal returns the largest total at the counter after one request, which is that of the tenant's bucket.
 		largestTotal := func(end func(h *harness, counter fakeCounter, attempts []policy.StartAttempt)) float64 {
 			h, counter := newHarness(t, set, 6), fakeCounter{}
 			h.receiveEvent(sharedBucketRequest(1, 2*time.Second))
@@ -171,10 +174,11 @@
 			}
 			h.advance(ms, counter.add)
 		})
-		// The total also holds what had refilled a full bucket before the request.
+		// The total includes units that keep the bucket from being more than full, so the total without the
+		// settlement is the baseline.
 		unsettled := largestTotal(func(*harness, fakeCounter, []policy.StartAttempt) {})
 		if got := settled - unsettled + 1; got < want-1e-6 || got > want+1e-6 {
-			t.Errorf("an estimate of 1 that truly was %v took %v units of the bucket", units, got)
+			t.Errorf("a request charged 1 unit that used %v took %v units from the bucket, want %v", units, got, want)
 		}
 	}
 }
