--- a/internal/policy/balancer.go
+++ b/internal/policy/balancer.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	subsetSize     = 16   // endpoints among which a gateway chooses: it meets each of them often
-	errorPenalty   = 8.0  // an error costs more than a wait: it may be final
-	panicThreshold = 0.5  // with a smaller share of healthy endpoints than this, ejections do not count
-	jitter         = 0.15 // random spread of the expected latencies, against herding
-	maxWarmUpShare = 0.6  // part of OverloadMultiple that an endpoint warming up may have of the mean load
-	zoneAversion   = 2.0  // a rank grows by this times the cost of leaving the zone
+	subsetSize       = 16   // endpoints among which a gateway chooses: it meets each of them often
+	errorPenalty     = 8.0  // an error costs more than a wait: it may be final
+	panicThreshold   = 0.5  // with a smaller share of healthy endpoints than this, ejections do not count
+	latencyJitter    = 0.15 // random spread of the expected latencies, against herding
+	maxWarmUpShare   = 0.6  // part of OverloadMultiple that an endpoint warming up may have of the mean load
+	crossZonePenalty = 2.0  // a rank grows by this times the cost of leaving the zone
 )
 
 // balancer picks the endpoint for each attempt.
@@ -41,13 +41,13 @@
 	now            Time
 	honorEjections bool
 
-	best         *endpoint // of the candidates that need no slow start
-	bestLatency  float64   // its expected latency, seconds
-	bestRank     float64   // lower is better; 0 for a recovery trial
-	warmingUp    *endpoint // drawn among those that are warming up
-	warmingUpSum float64   // slow-start factors of those
-	factorSum    float64   // slow-start factors of all candidates in reach
-	reach        float64   // candidates in reach
+	best               *endpoint // of the candidates that need no slow start
+	bestLatency        float64   // its expected latency, seconds
+	bestScore          float64   // lower is better; 0 for a recovery trial
+	warmingUp          *endpoint // drawn among those that are warming up
+	warmingUpFactorSum float64   // slow-start factors of those
+	slowStartFactorSum float64   // slow-start factors of all candidates in reach
+	candidates         float64   // candidates in reach
 }
 
 // pick returns the endpoint at which an attempt of r should end first, and its expected
@@ -59,10 +59,10 @@
 		// When most look like outliers, the cause is not with them: go by the expected
 		// latencies alone.
 		honorEjections: float64(healthy) >= panicThreshold*float64(listed),
-		bestRank:       math.Inf(1),
+		bestScore:      math.Inf(1),
 	}
 	b.scanCandidates(&s, r)
-	if b.drawWarmingUp(&s, listed) {
+	if b.preferWarmingUp(&s, listed) {
 		s.best = s.warmingUp
 		s.bestLatency = b.latencies.expected(now, s.warmingUp, r.classIndex)
 	}
@@ -75,13 +75,13 @@
 
 // ejectOutliers counts the endpoints that are listed, and those among them that are not ejected.
 func (b *balancer) ejectOutliers(now Time) (listed, healthy int) {
-	usualLatency := b.latencies.meanLatency
+	meanLatency := b.latencies.meanLatency
 	for _, ep := range b.endpoints.list {
 		if !ep.listed {
 			continue
 		}
 		listed++
-		b.outliers.detect(now, ep, usualLatency)
+		b.outliers.detect(now, ep, meanLatency)
 		if !ep.ejected {
 			healthy++
 		}
@@ -108,42 +108,42 @@
 // examine takes one candidate into account.
 func (b *balancer) examine(s *scan, r *request, ep *endpoint) {
 	latency := b.latencies.expected(s.now, ep, r.classIndex)
-	rank := b.rank(ep, latency)
+	score := b.score(ep, latency)
 	factor := b.settings.slowStartFactor(s.now, ep)
-	s.factorSum += factor
-	s.reach++
+	s.slowStartFactorSum += factor
+	s.candidates++
 	switch {
 	case ep.ejected && s.honorEjections:
 		if !b.outliers.allowTrial(s.now, ep, r) {
 			return
 		}
-		rank = 0
+		score = 0
 	case factor < 1:
-		s.warmingUpSum += factor
-		if b.rng.Float64()*s.warmingUpSum < factor {
+		s.warmingUpFactorSum += factor
+		if b.rng.Float64()*s.warmingUpFactorSum < factor {
 			s.warmingUp = ep
 		}
 		return
 	}
-	if rank < s.bestRank {
+	if score < s.bestScore {
 		s.best = ep
 		s.bestLatency = latency
-		s.bestRank = rank
+		s.bestScore = score
 	}
 }
 
-// rank orders candidates by their expected latency, with some jitter, their errors and
+// score orders candidates by their expected latency, with some jitter, their errors and
 // the cost of leaving the zone.
-func (b *balancer) rank(ep *endpoint, latency float64) float64 {
-	rank := latency / math.Sqrt(ep.slowness.ratio) * (1 + jitter*b.rng.Float64())
-	rank *= 1 + errorPenalty*max(ep.errorRate-b.outliers.fleetErrorRate, 0)
+func (b *balancer) score(ep *endpoint, latency float64) float64 {
+	score := latency / math.Sqrt(ep.slowness.ratio) * (1 + latencyJitter*b.rng.Float64())
+	score *= 1 + errorPenalty*max(ep.errorRate-b.outliers.overallErrorRate, 0)
 	if ep.Zone != b.settings.Zone {
-		rank *= 1 + zoneAversion*b.settings.CrossZoneCost
+		score *= 1 + crossZonePenalty*b.settings.CrossZoneCost
 	}
-	return rank
+	return score
 }
 
-// drawWarmingUp decides whether the attempt goes to the endpoint drawn among those that
+// preferWarmingUp decides whether the attempt goes to the endpoint drawn among those that
 // are warming up. A recovery trial goes before.
 //
 // Such an endpoint is drawn for its part of the load, whatever its latencies tell: for
@@ -152,10 +152,10 @@
 // maxWarmUpShare, also where too few endpoints are left for that load, and of load that
 // nobody answers next to nothing: all gateways together stay well below what makes it
 // fall over.
-func (b *balancer) drawWarmingUp(s *scan, listed int) bool {
-	if s.warmingUp == nil || s.bestRank <= 0 {
+func (b *balancer) preferWarmingUp(s *scan, listed int) bool {
+	if s.warmingUp == nil || s.bestScore <= 0 {
 		return false
 	}
-	share := min(1/s.factorSum, max(maxWarmUpShare*b.settings.OverloadMultiple, 1)/s.reach)
-	return b.rng.Float64() < s.warmingUpSum*share*b.throttle.successRatio(s.now, listed)
+	share := min(1/s.slowStartFactorSum, max(maxWarmUpShare*b.settings.OverloadMultiple, 1)/s.candidates)
+	return b.rng.Float64() < s.warmingUpFactorSum*share*b.throttle.successRatio(s.now, listed)
 }
--- a/internal/policy/latency.go
+++ b/internal/policy/latency.go
@@ -68,7 +68,7 @@
 func (e *latencyEstimator) expected(now Time, ep *endpoint, class int) float64 {
 	latency := e.serviceTime[class] * ep.slowness.at(now) * e.queuePosition(ep.inFlight)
 	if ep.unanswered > 0 && ep.inFlight > 0 {
-		latency = max(latency, (now - ep.silentSince).Seconds())
+		latency = max(latency, (now - ep.unansweredSince).Seconds())
 	}
 	return latency
 }
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	errorRateGain      = 0.15                   // weight of one outcome in an endpoint's error rate
-	fleetErrorRateGain = errorRateGain / 10     // weight of one outcome in the error rate of all
-	maxErrorRate       = 0.35                   // error rate that ejects an endpoint unless all fail alike
-	maxErrorRateRatio  = 2                      // multiple of the error rate of all beyond which one stands out
-	maxSilence         = 12.0                   // usual latencies of silence, times unanswered attempts, that eject
-	maxUnanswered      = 3                      // unanswered attempts beyond this prove no more
-	minEjection        = 500 * time.Millisecond // first wait before a recovery trial
-	maxEjection        = 4 * time.Second        // longest such wait
+	errorRateGain         = 0.15                   // weight of one outcome in an endpoint's error rate
+	overallErrorRateGain  = errorRateGain / 10     // weight of one outcome in the error rate of all
+	maxErrorRate          = 0.35                   // error rate that ejects an endpoint unless all fail alike
+	maxErrorRateRatio     = 2                      // multiple of the error rate of all beyond which one stands out
+	unresponsiveThreshold = 12.0                   // usual latencies of silence, times unanswered attempts, that eject
+	maxCountedUnanswered  = 3                      // unanswered attempts beyond this prove no more
+	minEjectionTime       = 500 * time.Millisecond // first wait before a recovery trial
+	maxEjectionTime       = 4 * time.Second        // longest such wait
 )
 
 // outlierState is what the outlier detector knows of one endpoint.
 type outlierState struct {
 	errorRate         float64 // share of recent outcomes that were errors
 	unanswered        int     // attempts started since it last answered
-	silentSince       Time    // when the first of these started
+	unansweredSince   Time    // when the first of these started
 	ejected           bool
-	ejection          time.Duration // length of the last ejection
-	trialAt           Time          // when a recovery trial is allowed
+	ejectionTime      time.Duration // length of the last ejection
+	nextTrialAt       Time          // when a recovery trial is allowed
 	trialPending      bool          // a recovery trial or its health check is in flight
 	healthCheckPassed bool          // a recovery trial may follow
 }
@@ -28,7 +28,7 @@
 // attemptStarted counts one more attempt that is owed an answer.
 func (s *outlierState) attemptStarted(now Time) {
 	if s.unanswered == 0 {
-		s.silentSince = now
+		s.unansweredSince = now
 	}
 	s.unanswered++
 }
@@ -38,9 +38,9 @@
 
 // eject keeps attempts away for a time that doubles with each failed recovery trial.
 func (s *outlierState) eject(now Time) {
-	s.ejection = min(max(2*s.ejection, minEjection), maxEjection)
+	s.ejectionTime = min(max(2*s.ejectionTime, minEjectionTime), maxEjectionTime)
 	s.ejected = true
-	s.trialAt = now + s.ejection
+	s.nextTrialAt = now + s.ejectionTime
 	s.trialPending = false
 	s.healthCheckPassed = false
 }
@@ -54,7 +54,7 @@
 // readmit ends the ejection: what led to it is void.
 func (s *outlierState) readmit() {
 	s.ejected = false
-	s.ejection = 0
+	s.ejectionTime = 0
 	s.errorRate = 0
 	s.unanswered = 0
 }
@@ -64,7 +64,7 @@
 type outlierDetector struct {
 	settings         *Settings
 	emit             func(Action) // appends an action to those of the current step
-	fleetErrorRate   float64      // share of recent outcomes that were errors, over all endpoints
+	overallErrorRate float64      // share of recent outcomes that were errors, over all endpoints
 	trialIdempotency Idempotency  // the least delicate kind in use; only such requests make trials
 }
 
@@ -79,14 +79,14 @@
 // detect ejects an endpoint that is silent or fails more than the others. It could harm
 // where one rare long request is all that an endpoint has, so silence counts by the
 // unanswered attempts; usualLatency is in seconds.
-func (d *outlierDetector) detect(now Time, ep *endpoint, usualLatency float64) {
+func (d *outlierDetector) detect(now Time, ep *endpoint, meanLatency float64) {
 	if ep.ejected || ep.unanswered == 0 && ep.errorRate <= maxErrorRate {
 		return // the usual case comes first: this runs for every endpoint before each attempt
 	}
-	silence := (now - ep.silentSince).Seconds() * float64(min(ep.unanswered, maxUnanswered))
-	silent := silence > maxSilence*usualLatency
-	failing := ep.errorRate > maxErrorRate && ep.errorRate > maxErrorRateRatio*d.fleetErrorRate
-	if silent || failing {
+	waited := (now - ep.unansweredSince).Seconds() * float64(min(ep.unanswered, maxCountedUnanswered))
+	unresponsive := waited > unresponsiveThreshold*meanLatency
+	failing := ep.errorRate > maxErrorRate && ep.errorRate > maxErrorRateRatio*d.overallErrorRate
+	if unresponsive || failing {
 		ep.eject(now)
 	}
 }
@@ -94,7 +94,7 @@
 // allowTrial reports whether r may be the recovery trial of an ejected endpoint. Where
 // health checks are allowed it starts one first, and the trial follows when that passed.
 func (d *outlierDetector) allowTrial(now Time, ep *endpoint, r *request) bool {
-	if ep.trialPending || now < ep.trialAt {
+	if ep.trialPending || now < ep.nextTrialAt {
 		return false
 	}
 	if r.class.Idempotency != d.trialIdempotency || len(r.attempts) > 0 {
@@ -121,26 +121,26 @@
 }
 
 // observe learns from the outcome of an attempt that took latency seconds.
-func (d *outlierDetector) observe(now Time, a *attempt, outcome Outcome, latency, usualLatency float64) {
+func (d *outlierDetector) observe(now Time, a *attempt, outcome Outcome, latency, meanLatency float64) {
 	ep := a.endpoint
-	if showsLife(outcome) && a.startedAt >= ep.silentSince {
+	if provesResponsive(outcome) && a.startedAt >= ep.unansweredSince {
 		ep.answered()
 	}
 	switch outcome {
 	case Succeeded:
-		d.learnErrorRate(ep, 0)
+		d.updateErrorRate(ep, 0)
 	case ServerError, ConnectionLost, ConnectFailed:
-		d.learnErrorRate(ep, 1)
+		d.updateErrorRate(ep, 1)
 	default: // other outcomes tell nothing of errors
 	}
 	if a.recoveryTrial && ep.ejected {
-		d.trialEnded(now, ep, outcome, latency > usualLatency)
+		d.trialEnded(now, ep, outcome, latency > meanLatency)
 	}
 }
 
-// showsLife reports whether an outcome ends an endpoint's silence. A lost connection does
+// provesResponsive reports whether an outcome ends an endpoint's silence. A lost connection does
 // too: silence is made up of attempts that never end.
-func showsLife(outcome Outcome) bool {
+func provesResponsive(outcome Outcome) bool {
 	switch outcome {
 	case Succeeded, ServerError, Overloaded, ConnectionLost:
 		return true
@@ -149,10 +149,10 @@
 	}
 }
 
-// learnErrorRate takes one outcome into account; failure is 1 for an error, else 0.
-func (d *outlierDetector) learnErrorRate(ep *endpoint, failure float64) {
+// updateErrorRate takes one outcome into account; failure is 1 for an error, else 0.
+func (d *outlierDetector) updateErrorRate(ep *endpoint, failure float64) {
 	ep.errorRate += errorRateGain * (failure - ep.errorRate)
-	d.fleetErrorRate += fleetErrorRateGain * (failure - d.fleetErrorRate)
+	d.overallErrorRate += overallErrorRateGain * (failure - d.overallErrorRate)
 }
 
 // trialEnded readmits the endpoint after a successful recovery trial and ejects it again
