--- a/internal/policy/countercalls.go
+++ b/internal/policy/countercalls.go
@@ -93,8 +93,8 @@
 	if !ok {
 		return
 	}
-	// A isLate reply tells of a queue at the counter, in which the calls of all gateways wait for nothing.
-	isLate := g.now-call.startedAt > time.Duration(lateReplyShare*float64(g.set.CounterTimeout))
+	// A late reply tells of a queue at the counter, in which the calls of all gateways wait for nothing.
+	isLate := g.now-call.startedAt > time.Duration(lateReplyShare*float64(g.settings.CounterTimeout))
 	if reply.Outcome != Succeeded || isLate {
 		g.counterBudget.decrease()
 	} else {
--- a/internal/policy/sharedbucket.go
+++ b/internal/policy/sharedbucket.go
@@ -35,7 +35,7 @@
 	risk := overQuotaRisk{probability: estimates[kind], cost: t.plan.OverQuotaCost - t.plan.OverQuotaWeight}
 	probability := g.overQuota.callProbability(risk.valueAtRisk(r), g.counterBudget.rate)
 	calls := g.rng.Float64() < probability
-	waits := calls && !g.stalls.stalledLately(g.now) && r.deadline-g.now > 2*g.set.CounterTimeout
+	waits := calls && !g.stalls.recentlyStalled(g.now) && r.deadline-g.now > 2*g.settings.CounterTimeout
 	if !waits {
 		g.decideUncoordinated(r, risk)
 	}
@@ -102,7 +102,7 @@
 func (c *sharedBucketCall) start() {
 	g := c.gateway
 	if c.held.waiting { // the reply may come later than is good for the request
-		g.startTimer(g.set.CounterTimeout, c.onTimeout)
+		g.startTimer(g.settings.CounterTimeout, c.onTimeout)
 	}
 	g.addToCounter(c.key(), c.units, bucketTTL, c.onReply)
 }
@@ -138,7 +138,7 @@
 	}
 	if sufficient && len(r.attempts) > 0 {
 		t.sharedBucket.take(c.units)
-		r.chargedToBucket = true
+		r.chargedToSharedBucket = true
 		return
 	}
 	g.addToCounter(c.key(), -c.units, bucketTTL, ignoreReply)
