--- a/internal/edge/handler.go
+++ b/internal/edge/handler.go
@@ -76,7 +76,7 @@
 		return nil, err
 	}
 	conn := frontend.ConnFromContext(req.Context())
-	if conn != nil && !conn.RequestComplete() {
+	if conn != nil && !conn.AcceptRequest() {
 		panic(http.ErrAbortHandler)
 	}
 	r := newRequest(&parsed, conn)
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -55,14 +55,14 @@
 	text := clientRequest("lookup", "00000000000000aa")
 	io.WriteString(c, text[:len(text)/2])
 	testsupport.Eventually(t, "the connection", func() bool { return h.node.clients.Stats().Open == 1 })
-	if proven := h.node.clients.Stats().Proven; proven != 0 {
-		t.Errorf("%d connections are proven by half a request", proven)
+	if proven := h.node.clients.Stats().SentRequest; proven != 0 {
+		t.Errorf("%d connections have sent a whole request after half a request, want 0", proven)
 	}
 	if resp, _ := c.roundTrip(text[len(text)/2:]); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
-	if proven := h.node.clients.Stats().Proven; proven != 1 {
-		t.Errorf("%d connections are proven by a served request, want 1", proven)
+	if proven := h.node.clients.Stats().SentRequest; proven != 1 {
+		t.Errorf("%d connections have sent a whole request after a served request, want 1", proven)
 	}
 }
 
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -25,12 +25,12 @@
 
 	// The tracker's lock guards what is below.
 
-	idleSince time.Time // when it was accepted, or its last request was answered
-	idle      bool      // its last request is answered, and nothing of the next was read
-	nextBegun bool      // something of the next request was read while one was in flight
-	proven    bool      // it has sent a whole request
-	busy      bool      // a whole request of it is in flight
-	shut      bool      // closed by this side between requests
+	idleSince          time.Time // when it was accepted, or its last request was answered
+	idle               bool      // its last request is answered, and nothing of the next was read
+	nextRequestStarted bool      // something of the next request was read while one was in flight
+	hasSentRequest     bool      // it has sent a whole request
+	busy               bool      // a whole request of it is in flight
+	closedLocally      bool      // closed by this side between requests
 }
 
 func newConn(conn net.Conn, tracker *Tracker) *Conn {
@@ -56,14 +56,14 @@
 	}
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
-	if c.shut {
+	if c.closedLocally {
 		return 0, io.EOF
 	}
 	c.idle = false
 	// The library watches for the client's disconnecting by reading one byte while a
 	// request is in flight. If it gets one it watches no more: from then on this side does.
 	if len(b) == 1 {
-		c.nextBegun = true
+		c.nextRequestStarted = true
 		if c.readAhead.Load() == nil {
 			c.readAhead.Store(newReadAhead(c.Conn, c.tracker.memory, c.disconnected))
 		}
@@ -96,9 +96,9 @@
 	return err
 }
 
-// shutDown closes the connection between requests. The tracker's lock is held.
-func (c *Conn) shutDown() {
-	c.shut = true
+// closeLocally closes the connection between requests. The tracker's lock is held.
+func (c *Conn) closeLocally() {
+	c.closedLocally = true
 	c.Close() // the library reports the state Closed in due course
 }
 
@@ -118,21 +118,21 @@
 	}
 }
 
-// RequestComplete notes that a whole request has been read from the connection and will be
+// AcceptRequest notes that a whole request has been read from the connection and will be
 // answered. It reports false if the request must be dropped: this side has closed the
 // connection before, and the client sends the request again, or the client has disconnected.
-func (c *Conn) RequestComplete() bool {
+func (c *Conn) AcceptRequest() bool {
 	if c.DetectDisconnect() {
 		return false
 	}
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
-	if c.shut {
+	if c.closedLocally {
 		return false
 	}
-	c.proven = true
+	c.hasSentRequest = true
 	c.busy = true
-	c.nextBegun = false
+	c.nextRequestStarted = false
 	if c.tracker.draining || c.readAhead.Load() != nil {
 		// StopReading, or the library while it read the head, may have set a read deadline.
 		// When it passed, the read would fail as if the client had disconnected, or the
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -7,7 +7,7 @@
 // request of it is in flight. A [Parser] checks a request and reads it to its last byte.
 //
 // The package makes no decision on a request: the owner's [net/http.Handler] does, and
-// calls [Conn.RequestComplete] once a request has been read. The owner also runs the
+// calls [Conn.AcceptRequest] once a request has been read. The owner also runs the
 // phases of a graceful shutdown, in this order: [Server.StartDraining],
 // [Server.StopAccepting], [Server.StopReading], [Server.AllClosed], [Server.Close].
 //
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -19,7 +19,7 @@
 func startServer(t *testing.T, tracker *Tracker) (addr string) {
 	t.Helper()
 	handler := func(w http.ResponseWriter, req *http.Request) {
-		if !ConnFromContext(req.Context()).RequestComplete() {
+		if !ConnFromContext(req.Context()).AcceptRequest() {
 			panic(http.ErrAbortHandler)
 		}
 		io.WriteString(w, "hello")
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// lastAcceptDuration is the time for accepting the connections that came before the
+// backlogDrainTimeout is the time for accepting the connections that came before the
 // listener closes.
-const lastAcceptDuration = 10 * time.Millisecond
+const backlogDrainTimeout = 10 * time.Millisecond
 
 // Listener accepts connections as [Conn] and ends the HTTP library's Serve once its deadline
 // has passed. The library takes a time-out of Accept for a temporary error and would retry
 // for ever.
 type Listener struct {
 	*net.TCPListener
-	tracker    *Tracker
-	lastAccept bool // the deadline has passed: only what has come by then is accepted
+	tracker         *Tracker
+	drainingBacklog bool // the deadline has passed: only what has come by then is accepted
 }
 
 // NewListener returns a listener whose connections report to a tracker.
@@ -29,11 +29,11 @@
 // Accept implements [net.Listener]. One goroutine calls it.
 func (l *Listener) Accept() (net.Conn, error) {
 	conn, err := l.AcceptTCP()
-	if errors.Is(err, os.ErrDeadlineExceeded) && !l.lastAccept {
+	if errors.Is(err, os.ErrDeadlineExceeded) && !l.drainingBacklog {
 		// The error comes without a look at the connections that wait, and closing the
 		// listener would reset them and the requests written to them.
-		l.lastAccept = true
-		if err := l.SetDeadline(time.Now().Add(lastAcceptDuration)); err != nil {
+		l.drainingBacklog = true
+		if err := l.SetDeadline(time.Now().Add(backlogDrainTimeout)); err != nil {
 			return nil, fmt.Errorf("closing the listener: %w", err)
 		}
 		conn, err = l.AcceptTCP()
--- a/internal/frontend/readahead_test.go
+++ b/internal/frontend/readahead_test.go
@@ -13,21 +13,21 @@
 // Guards the deadlines of a connection that is read ahead: one that passes is reported to
 // who reads, another ends that, and what comes afterwards is read.
 func TestReadAheadDeadline(t *testing.T) {
-	here, there := net.Pipe()
-	defer there.Close()
+	serverConn, clientConn := net.Pipe()
+	defer clientConn.Close()
 	disconnected := make(chan struct{})
-	a := newReadAhead(here, NewMemoryBudget(testMemory), disconnected)
+	a := newReadAhead(serverConn, NewMemoryBudget(testMemory), disconnected)
 	a.setReadDeadline(time.Unix(1, 0))
 	if _, err := a.Read(make([]byte, 1)); err == nil || !err.(net.Error).Timeout() {
 		t.Errorf("past its deadline: %v", err)
 	}
 	a.setReadDeadline(time.Time{})
-	go io.WriteString(there, "x")
+	go io.WriteString(clientConn, "x")
 	b := make([]byte, 2)
 	if k, err := a.Read(b); k != 1 || err != nil || b[0] != 'x' {
 		t.Errorf("after that: %q, %v", b[:k], err)
 	}
-	here.Close()
+	serverConn.Close()
 	a.close()
 	testsupport.Receive(t, "the end", disconnected)
 	if _, err := a.Read(b); err == nil {
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -83,7 +83,7 @@
 
 // AllClosed returns a channel that is closed once no connection is open. It is called at
 // most once, after Serve has returned.
-func (s *Server) AllClosed() <-chan struct{} { return s.tracker.awaitAllClosed() }
+func (s *Server) AllClosed() <-chan struct{} { return s.tracker.notifyAllClosed() }
 
 // Close closes the listener and all connections at once.
 func (s *Server) Close() error { return s.http.Close() }
--- a/internal/frontend/tracker.go
+++ b/internal/frontend/tracker.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// unprovenIdleFactor is how much faster a connection ages that never sent a whole request,
+// noRequestIdleFactor is how much faster a connection ages that never sent a whole request,
 // so that those make room first. It is finite: connections that sent one request and stay
 // must not be able to fill the limit and leave the new ones to evict only each other.
-const unprovenIdleFactor = 8
+const noRequestIdleFactor = 8
 
 // Tracker knows the open connections of clients. It holds their number to a limit, and
 // closes the idle ones when the node drains. It has a lock of its own; its
@@ -37,7 +37,7 @@
 	MaxConns       int // how many may be open
 	Open           int
 	Idle           int // answered, and nothing of the next request was read
-	Proven         int // that have sent a whole request
+	SentRequest    int // that have sent a whole request
 	ReadAhead      int // whose clients sent beyond a request in flight
 	ReadAheadBytes int // that those sent, and that are not yet consumed
 }
@@ -51,8 +51,8 @@
 		if c.idle {
 			stats.Idle++
 		}
-		if c.proven {
-			stats.Proven++
+		if c.hasSentRequest {
+			stats.SentRequest++
 		}
 		if ahead := c.readAhead.Load(); ahead != nil {
 			stats.ReadAhead++
@@ -73,7 +73,7 @@
 		t.evictFor(c)
 	}
 	c.idleSince = time.Now()
-	if !c.shut {
+	if !c.closedLocally {
 		t.conns[c] = c
 	}
 	return context.WithValue(ctx, connKey{}, c)
@@ -82,21 +82,21 @@
 // evictFor closes one connection so that a new one fits the limit: the longest idle of
 // those without a request in flight, where a moment weighs more on one that never sent a
 // whole request. If all are busy the new one itself goes. The lock is held.
-func (t *Tracker) evictFor(newcomer *Conn) {
-	evicted := newcomer
+func (t *Tracker) evictFor(incoming *Conn) {
+	evicted := incoming
 	longest := time.Duration(-1)
 	now := time.Now()
 	for _, c := range t.conns {
 		idle := now.Sub(c.idleSince)
-		if !c.proven {
-			idle *= unprovenIdleFactor
+		if !c.hasSentRequest {
+			idle *= noRequestIdleFactor
 		}
 		if !c.busy && idle > longest {
 			evicted = c
 			longest = idle
 		}
 	}
-	evicted.shutDown()
+	evicted.closeLocally()
 	delete(t.conns, evicted)
 }
 
@@ -111,22 +111,22 @@
 			t.requestAnswered(c)
 		}
 	case http.StateClosed, http.StateHijacked:
-		t.forget(conn)
+		t.remove(conn)
 	}
 }
 
 // requestAnswered notes that a connection waits for its next request. The lock is held.
 func (t *Tracker) requestAnswered(c *Conn) {
-	c.idle = !c.nextBegun
+	c.idle = !c.nextRequestStarted
 	c.busy = false
 	c.idleSince = time.Now()
 	if t.draining && c.idle {
-		c.shutDown() // its answer went out before it could announce the close
+		c.closeLocally() // its answer went out before it could announce the close
 	}
 }
 
-// forget drops a closed connection. The lock is held.
-func (t *Tracker) forget(conn net.Conn) {
+// remove drops a closed connection. The lock is held.
+func (t *Tracker) remove(conn net.Conn) {
 	delete(t.conns, conn)
 	if len(t.conns) == 0 && t.allClosed != nil {
 		close(t.allClosed)
@@ -142,7 +142,7 @@
 	t.draining = true
 	for _, c := range t.conns {
 		if c.idle {
-			c.shutDown()
+			c.closeLocally()
 		}
 	}
 }
@@ -166,9 +166,9 @@
 	}
 }
 
-// awaitAllClosed returns a channel that is closed once no connection is open. It is called
+// notifyAllClosed returns a channel that is closed once no connection is open. It is called
 // once, when no new connection is accepted any more.
-func (t *Tracker) awaitAllClosed() <-chan struct{} {
+func (t *Tracker) notifyAllClosed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	allClosed := make(chan struct{})
