--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -8,10 +8,10 @@
 // The faults of a request that are not those of one header's value. Their texts, like those
 // of [HeaderError] and [ClassError], are the bodies of the responses with status 400.
 var (
-	ErrFraming      = errors.New("wanted: HTTP/1.1 with a Content-Length")
-	ErrTarget       = errors.New("target or Host can't be passed on")
-	ErrUnknownClass = errors.New("unknown class or plan")
-	ErrBodyTooLong  = errors.New("body too long")
+	ErrFraming            = errors.New("wanted: HTTP/1.1 with a Content-Length")
+	ErrInvalidTarget      = errors.New("target or Host can't be passed on")
+	ErrUnknownClassOrPlan = errors.New("unknown class or plan")
+	ErrBodyTooLong        = errors.New("body too long")
 )
 
 // HeaderError tells that a header is missing, stands twice or has a malformed value.
--- a/internal/frontend/readahead_test.go
+++ b/internal/frontend/readahead_test.go
@@ -24,8 +24,8 @@
 	a.setReadDeadline(time.Time{})
 	go io.WriteString(clientConn, "x")
 	b := make([]byte, 2)
-	if k, err := a.Read(b); k != 1 || err != nil || b[0] != 'x' {
-		t.Errorf("after that: %q, %v", b[:k], err)
+	if n, err := a.Read(b); n != 1 || err != nil || b[0] != 'x' {
+		t.Errorf("after that: %q, %v", b[:n], err)
 	}
 	serverConn.Close()
 	a.close()
@@ -40,7 +40,7 @@
 func TestReadAheadBounds(t *testing.T) {
 	for _, c := range []struct {
 		buffered, reserved, free int
-		more                     bool
+		wantMore                 bool
 	}{
 		{0, 0, 0, true},
 		{1, 0, 0, false},
@@ -52,7 +52,7 @@
 	} {
 		memory := NewMemoryBudget(int64(c.free))
 		a := &readAhead{memory: memory, buffer: make([]byte, c.buffered), reserved: int64(c.reserved)}
-		if got := a.reserve(); got != c.more {
+		if got := a.reserve(); got != c.wantMore {
 			t.Errorf("%d bytes kept, %d reserved, %d free: more is read %v", c.buffered, c.reserved, c.free, got)
 		}
 		if free := memory.Free(); free < 0 || free+a.reserved != int64(c.free+c.reserved) {
@@ -80,7 +80,7 @@
 
 // Guards the watch for a client's disconnecting against a deadline that is lifted while the
 // read that met it returns, as the library does at the end of each request.
-func TestReadAheadDeadlineLiftedDuringRead(t *testing.T) {
+func TestReadAheadIgnoresTimeoutOfReplacedDeadline(t *testing.T) {
 	c := scriptedConn{reads: make(chan struct{}), results: make(chan error)}
 	a := newReadAhead(c, NewMemoryBudget(testMemory), make(chan struct{}))
 	testsupport.Receive(t, "the read", c.reads)
@@ -89,8 +89,8 @@
 	testsupport.Receive(t, "the reading on", c.reads)
 	c.results <- nil
 	b := make([]byte, 2)
-	if k, err := a.Read(b); k != 1 || err != nil {
-		t.Errorf("read %q, %v", b[:k], err)
+	if n, err := a.Read(b); n != 1 || err != nil {
+		t.Errorf("read %q, %v", b[:n], err)
 	}
 	testsupport.Receive(t, "the read", c.reads)
 	c.results <- io.EOF
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -61,7 +61,7 @@
 // [*HeaderError], a [*ClassError], one of the sentinels of this package, or what broke the
 // reading of the body. A request whose head has a fault is not read any further.
 func (p *Parser) Parse(req *http.Request) (Request, error) {
-	if err := checkMessage(req); err != nil {
+	if err := checkFramingAndTarget(req); err != nil {
 		return Request{}, err
 	}
 	headers, err := readHeaders(req.Header)
@@ -95,15 +95,15 @@
 	return request, nil
 }
 
-// checkMessage checks the framing and what is forwarded as it stands.
-func checkMessage(req *http.Request) error {
+// checkFramingAndTarget checks the framing and what is forwarded as it stands.
+func checkFramingAndTarget(req *http.Request) error {
 	// The library drops a length beside a Transfer-Encoding, under HTTP/1.0 the
 	// encoding: what is left can't be told from a request hidden in a body.
 	if len(req.TransferEncoding) > 0 || !req.ProtoAtLeast(1, 1) {
 		return ErrFraming
 	}
 	if !isVisibleASCII(req.RequestURI) || !isVisibleASCII(req.Host) {
-		return ErrTarget
+		return ErrInvalidTarget
 	}
 	return nil
 }
@@ -156,12 +156,12 @@
 		IsRetry:   req.Header.Get(retryHeader) == "1",
 	}
 	if event.Class < 0 || event.Plan < 0 {
-		return event, ErrUnknownClass
+		return event, ErrUnknownClassOrPlan
 	}
-	if !isID(headers.traceID) {
+	if !isHexID(headers.traceID) {
 		return event, &HeaderError{Header: traceIDHeader, Problem: "no id"}
 	}
-	if !pathOfClass(req.RequestURI, headers.class) {
+	if !pathMatchesClass(req.RequestURI, headers.class) {
 		return event, &ClassError{Class: headers.class, Problem: "the path is not of"}
 	}
 	var err error
@@ -176,7 +176,7 @@
 	}
 	terms, err := p.parseTerms(headers.terms)
 	event.Units = terms.units.value
-	event.TenantGateways = int(terms.spread.value)
+	event.TenantGateways = int(terms.gateways.value)
 	return event, err
 }
 
@@ -202,8 +202,8 @@
 	return index
 }
 
-// pathOfClass reports whether the first segment of a target's path is a class's name.
-func pathOfClass(target, class string) bool {
+// pathMatchesClass reports whether the first segment of a target's path is a class's name.
+func pathMatchesClass(target, class string) bool {
 	rest, ok := strings.CutPrefix(target, "/"+class)
 	return ok && (rest == "" || rest[0] == '/' || rest[0] == '?')
 }
@@ -211,7 +211,7 @@
 // parseTenant reads the number of a tenant.
 func parseTenant(text string) (uint64, error) {
 	tenant, err := strconv.ParseUint(text, 16, tenantBits)
-	if err != nil || !isID(text) {
+	if err != nil || !isHexID(text) {
 		return 0, &HeaderError{Header: tenantHeader, Problem: "no customer"}
 	}
 	return tenant, nil
@@ -277,8 +277,8 @@
 	return text != ""
 }
 
-// isID reports whether text is an id: 16 hexadecimal digits.
-func isID(text string) bool {
+// isHexID reports whether text is an id: 16 hexadecimal digits.
+func isHexID(text string) bool {
 	_, err := strconv.ParseUint(text, 16, 64)
 	return err == nil && len(text) == 16
 }
--- a/internal/frontend/request_test.go
+++ b/internal/frontend/request_test.go
@@ -42,7 +42,7 @@
 }
 
 // Guards what a well-formed request is read as.
-func TestParse(t *testing.T) {
+func TestParseValidRequest(t *testing.T) {
 	for i, want := range []struct {
 		class, body, head string
 		timeout, window   time.Duration
--- a/internal/frontend/terms.go
+++ b/internal/frontend/terms.go
@@ -10,9 +10,9 @@
 
 // requestTerms is the content of an Api-Terms header.
 type requestTerms struct {
-	units  term // that the request counts
-	spread term // gateways through which the tenant's requests come
-	first  term // the first of those gateways; checked and not used
+	units        term // that the request counts
+	gateways     term // gateways through which the tenant's requests come
+	firstGateway term // the first of those gateways; checked and not used
 }
 
 // term is one figure of an Api-Terms header.
@@ -21,15 +21,15 @@
 	present bool
 }
 
-// named returns the figure of a name; nil: it is not known.
-func (t *requestTerms) named(name string) *term {
+// byName returns the figure of a name; nil: it is not known.
+func (t *requestTerms) byName(name string) *term {
 	switch name {
 	case "units":
 		return &t.units
 	case "spread":
-		return &t.spread
+		return &t.gateways
 	case "first":
-		return &t.first
+		return &t.firstGateway
 	}
 	return nil
 }
@@ -39,12 +39,12 @@
 func (p *Parser) parseTerms(text string) (requestTerms, error) {
 	var terms requestTerms
 	for part := range strings.SplitSeq(text, ",") {
-		name, figure, _ := strings.Cut(strings.TrimSpace(part), "=")
-		value, ok := decimal.Parse(figure)
+		name, valueText, _ := strings.Cut(strings.TrimSpace(part), "=")
+		value, ok := decimal.Parse(valueText)
 		if !ok {
 			return terms, termsError("%q is no number", name)
 		}
-		term := terms.named(name)
+		term := terms.byName(name)
 		if term == nil {
 			continue
 		}
@@ -57,7 +57,7 @@
 		term.value = value
 		term.present = true
 	}
-	if !terms.units.present || !terms.spread.present || !terms.first.present {
+	if !terms.units.present || !terms.gateways.present || !terms.firstGateway.present {
 		return terms, termsError("units, spread and first are wanted")
 	}
 	return terms, nil
