--- a/internal/edge/connreuse_test.go
+++ b/internal/edge/connreuse_test.go
@@ -39,7 +39,7 @@
 			h.node.mu.Lock()
 			defer h.node.mu.Unlock()
 			idle := h.node.pool.Endpoint("s-0").IdleConns()
-			return len(idle) == 0 || !idle[0].IsQuiet()
+			return len(idle) == 0 || !idle[0].IsReusable()
 		})
 	}
 }
@@ -155,9 +155,9 @@
 			return len(idle) == 1 && ok(idle[0])
 		}
 	}
-	testsupport.Eventually(t, "the idle connection", firstIdle((*upstream.Conn).IsQuiet))
+	testsupport.Eventually(t, "the idle connection", firstIdle((*upstream.Conn).IsReusable))
 	close(send)
-	testsupport.Eventually(t, "the duplicate", firstIdle(func(conn *upstream.Conn) bool { return !conn.IsQuiet() }))
+	testsupport.Eventually(t, "the duplicate", firstIdle(func(conn *upstream.Conn) bool { return !conn.IsReusable() }))
 	time.Sleep(upstream.ReuseDelay) // the delay alone would now allow the connection
 	for i := 1; i < 3; i++ {
 		if resp, body := c.roundTrip(clientRequest("merge", fmt.Sprintf("%016x", i))); resp.StatusCode != http.StatusOK || body != "hello" {
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -263,7 +263,7 @@
 	client, accepted := connect(h.t, frontend.NewListener(testsupport.Listen(h.t), tracker))
 	ctx := tracker.ConnContext(context.Background(), accepted)
 	conn := frontend.ConnFromContext(ctx)
-	if got := socket.Peek(conn.Conn); got != socket.Quiet {
+	if got := socket.Peek(conn.Conn); got != socket.NoData {
 		h.t.Errorf("before the client disconnects: %d", got)
 	}
 	client.Close()
--- a/internal/socket/peek.go
+++ b/internal/socket/peek.go
@@ -16,7 +16,7 @@
 
 const (
 	Unknown  PeerState = iota // the connection is no socket, or the look failed
-	Quiet                     // open, with nothing to read
+	NoData                    // open, with nothing to read
 	Readable                  // there is something to read
 	Closed                    // closed or reset by the peer, with nothing left to read
 )
@@ -47,7 +47,7 @@
 	count, _, err := syscall.Recvfrom(fd, buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch {
 	case errors.Is(err, syscall.EAGAIN):
-		return Quiet
+		return NoData
 	case errors.Is(err, syscall.EINTR):
 		return Unknown
 	case err != nil || count == 0:
--- a/internal/socket/peek_test.go
+++ b/internal/socket/peek_test.go
@@ -10,8 +10,8 @@
 	"swiftpitch/internal/testsupport"
 )
 
-// TestPeek checks the states of a peer, and that a look consumes nothing.
-func TestPeek(t *testing.T) {
+// TestPeekStates checks the states of a peer, and that a look consumes nothing.
+func TestPeekStates(t *testing.T) {
 	listener := testsupport.Listen(t)
 	peer := testsupport.Dial(t, listener.Addr().String())
 	conn, err := listener.Accept()
@@ -21,8 +21,8 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(testsupport.MaxWait))
 
-	if state := Peek(conn); state != Quiet {
-		t.Errorf("before the peer writes: state %d, want %d", state, Quiet)
+	if state := Peek(conn); state != NoData {
+		t.Errorf("before the peer writes: state %d, want %d", state, NoData)
 	}
 	io.WriteString(peer, "x")
 	waitForState(t, conn, Readable)
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestPeekNoSocket checks that a connection that is no socket has an unknown state.
-func TestPeekNoSocket(t *testing.T) {
+// TestPeekOfNonSocketIsUnknown checks that a connection that is no socket has an unknown state.
+func TestPeekOfNonSocketIsUnknown(t *testing.T) {
 	conn, peer := net.Pipe()
 	defer conn.Close()
 	defer peer.Close()
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -36,9 +36,9 @@
 // IdleSince returns when the connection became idle; zero: it never was.
 func (c *Conn) IdleSince() time.Time { return c.idleSince }
 
-// IsQuiet reports whether an idle connection is open and has nothing to read. A
+// IsReusable reports whether an idle connection is open and has nothing to read. A
 // connection that is no socket can't be asked and counts as quiet.
-func (c *Conn) IsQuiet() bool {
+func (c *Conn) IsReusable() bool {
 	_, isSocket := c.Conn.(syscall.Conn)
-	return !isSocket || socket.Peek(c.Conn) == socket.Quiet
+	return !isSocket || socket.Peek(c.Conn) == socket.NoData
 }
