--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -11,18 +11,18 @@
 // Endpoint is a server that discovery lists, with the idle connections to it. The lock
 // that guards its [Pool] guards it as well.
 type Endpoint struct {
-	id          string
-	addr        string
-	idle        []*Conn   // most recently used last
-	startedAtMS int64     // Unix time of its process's last start in ms, as discovery reports it
-	drainedAt   time.Time // when discovery first reported it draining or removed; zero: serving
+	id            string
+	addr          string
+	idle          []*Conn   // most recently used last
+	startedAtMS   int64     // Unix time of its process's last start in ms, as discovery reports it
+	drainingSince time.Time // when discovery first reported it draining or removed; zero: serving
 }
 
 // Addr returns the host and port at which discovery lists the endpoint.
 func (e *Endpoint) Addr() string { return e.addr }
 
 // IsServing reports whether the endpoint takes new requests by discovery's last word.
-func (e *Endpoint) IsServing() bool { return e.drainedAt.IsZero() }
+func (e *Endpoint) IsServing() bool { return e.drainingSince.IsZero() }
 
 // IdleConns returns the idle connections to the endpoint, most recently used last. The
 // slice belongs to the pool and is valid only while the lock is held.
@@ -48,7 +48,7 @@
 // AcceptsAttempts reports whether an attempt may start at an endpoint: it serves, or
 // its drain grace is not over yet. It holds for endpoints that were removed, too.
 func (p *Pool) AcceptsAttempts(endpoint *Endpoint, now time.Time) bool {
-	return endpoint.IsServing() || now.Sub(endpoint.drainedAt) < p.drainGrace
+	return endpoint.IsServing() || now.Sub(endpoint.drainingSince) < p.drainGrace
 }
 
 // UpdateEndpoint applies discovery's report on one endpoint. Idle connections are closed
@@ -93,7 +93,7 @@
 // it anew.
 func (p *Pool) drain(endpoint *Endpoint, now time.Time) {
 	if endpoint.IsServing() {
-		endpoint.drainedAt = now
+		endpoint.drainingSince = now
 		p.serving--
 	}
 }
@@ -101,7 +101,7 @@
 // resume ends an endpoint's drain.
 func (p *Pool) resume(endpoint *Endpoint) {
 	if !endpoint.IsServing() {
-		endpoint.drainedAt = time.Time{}
+		endpoint.drainingSince = time.Time{}
 		p.serving++
 	}
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -22,9 +22,9 @@
 )
 
 var (
-	errInterimResponses = errors.New("more interim responses than allowed")
-	errBodyTooLong      = errors.New("response body too long")
-	errUnframedBody     = errors.New("response body without a length: a truncated one can't be told from a whole one")
+	errTooManyInterimResponses = errors.New("more interim responses than allowed")
+	errBodyTooLong             = errors.New("response body too long")
+	errUnframedBody            = errors.New("response body without a length: a truncated one can't be told from a whole one")
 )
 
 // Response is the result of an exchange.
@@ -83,7 +83,7 @@
 	case err != nil:
 		return nil, err
 	case isInterim(head):
-		return nil, errInterimResponses
+		return nil, errTooManyInterimResponses
 	case head.ContentLength > maxBodyBytes:
 		return nil, errBodyTooLong
 	case head.ContentLength < 0 && len(head.TransferEncoding) == 0:
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -13,9 +13,9 @@
 	"swiftpitch/internal/testsupport"
 )
 
-// TestExchange checks the outcome of each way in which an exchange can end: only proof
+// TestExchangeOutcomes checks the outcome of each way in which an exchange can end: only proof
 // that the request never ran counts as such, and only a complete response is passed on.
-func TestExchange(t *testing.T) {
+func TestExchangeOutcomes(t *testing.T) {
 	for _, test := range []struct {
 		name, response string
 		outcome        policy.Outcome
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestPartialWrite checks that a connection that breaks before the request's last byte
+// TestPartialWriteProvesRequestNeverRan checks that a connection that breaks before the request's last byte
 // is written proves that the request never ran.
-func TestPartialWrite(t *testing.T) {
+func TestPartialWriteProvesRequestNeverRan(t *testing.T) {
 	listener := testsupport.Listen(t)
 	go func() {
 		conn, err := listener.Accept()
@@ -79,11 +79,11 @@
 	}
 }
 
-// TestDuplicateResponseCrossesNextRequest guards against a response made for another
+// TestNoReuseBeforeReuseDelay guards against a response made for another
 // request: a connection that has been idle for some milliseconds is not used yet. The
 // server sends a duplicate response to the first request just when the next one reaches
 // that connection, so that it would be the first thing read.
-func TestDuplicateResponseCrossesNextRequest(t *testing.T) {
+func TestNoReuseBeforeReuseDelay(t *testing.T) {
 	addr := testsupport.StartFakeEndpoint(t, func(conn net.Conn, req *http.Request, body []byte) bool {
 		if req.URL.Path == "/second" {
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother")
--- a/internal/upstream/idleage.go
+++ b/internal/upstream/idleage.go
@@ -15,17 +15,17 @@
 	// maxExcessBreakShare is the share of requests at an idle age whose connection may
 	// break early, beyond twice the share that breaks at the youngest age.
 	maxExcessBreakShare = 0.2
-	// minRequestsToJudge is the number of requests below which an idle age is not judged.
-	minRequestsToJudge = 4
+	// minRequestsPerBucket is the number of requests below which an idle age is not judged.
+	minRequestsPerBucket = 4
 	// decayInterval is the time after which the counts are halved, so that an idle age
 	// that is avoided is tried again some day.
 	decayInterval = 10 * time.Second
 )
 
 const (
-	// youngestIdleAge is the upper end of the youngest bucket; each further bucket
+	// firstBucketMaxAge is the upper end of the youngest bucket; each further bucket
 	// reaches to twice the age: 25 ms, 50 ms, 100 ms and so on.
-	youngestIdleAge = 25 * time.Millisecond
+	firstBucketMaxAge = 25 * time.Millisecond
 	// idleAgeBuckets is the number of buckets; the last one has no upper end.
 	idleAgeBuckets = 12
 )
@@ -40,7 +40,7 @@
 
 // bucketOf returns the index of an idle age's bucket.
 func bucketOf(age time.Duration) int {
-	return min(bits.Len64(uint64(age/youngestIdleAge)), idleAgeBuckets-1)
+	return min(bits.Len64(uint64(age/firstBucketMaxAge)), idleAgeBuckets-1)
 }
 
 // record counts one request on a connection of an idle age.
@@ -68,9 +68,9 @@
 // isStale reports whether connections of an idle age break much more often than young ones.
 func (s *idleAgeStats) isStale(age time.Duration) bool {
 	bucket := bucketOf(age)
-	if bucket == 0 || s.requests[bucket] < minRequestsToJudge {
+	if bucket == 0 || s.requests[bucket] < minRequestsPerBucket {
 		return false
 	}
-	youngShare := s.broken[0] / max(s.requests[0], 1)
-	return s.broken[bucket] > s.requests[bucket]*(maxExcessBreakShare+2*youngShare)
+	baselineShare := s.broken[0] / max(s.requests[0], 1)
+	return s.broken[bucket] > s.requests[bucket]*(maxExcessBreakShare+2*baselineShare)
 }
--- a/internal/upstream/loadreport_test.go
+++ b/internal/upstream/loadreport_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// TestLoadReportFieldNames checks that the names of the settings are read beside the others.
-func TestLoadReportFieldNames(t *testing.T) {
+// TestLoadReportShortAndLongFieldNames checks that the names of the settings are read beside the others.
+func TestLoadReportShortAndLongFieldNames(t *testing.T) {
 	for _, text := range []string{
 		"TEXT busy=0.61, lat_ms=14.5, rif=7, q=2",
 		"TEXT util=0.61, latency_ms=14.5, inflight=7, queue=2",
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -25,9 +25,9 @@
 	// idleTimeoutDivisor divides the servers' idle timeout: the pool closes an idle
 	// connection well before its server does, whose close a request could cross.
 	idleTimeoutDivisor = 2
-	// sweepDivisor divides the pool's idle timeout: a connection stays open for at most
+	// sweepsPerIdleTimeout divides the pool's idle timeout: a connection stays open for at most
 	// that part of it longer.
-	sweepDivisor = 8
+	sweepsPerIdleTimeout = 8
 )
 
 // Pool holds the endpoints and the connections to them. It has no lock: the edge node's
@@ -69,7 +69,7 @@
 func (p *Pool) DialTimeout() time.Duration { return p.dialTimeout }
 
 // SweepInterval returns how often [Pool.EvictExpired] is to be called.
-func (p *Pool) SweepInterval() time.Duration { return p.idleTimeout / sweepDivisor }
+func (p *Pool) SweepInterval() time.Duration { return p.idleTimeout / sweepsPerIdleTimeout }
 
 // OpenConns returns the number of open connections, those being dialed included.
 func (p *Pool) OpenConns() int { return p.open }
@@ -88,7 +88,7 @@
 			continue
 		}
 		endpoint.idle = slices.Delete(endpoint.idle, i, i+1)
-		if age < p.idleTimeout && !p.idleAges.isStale(age) && conn.IsQuiet() {
+		if age < p.idleTimeout && !p.idleAges.isStale(age) && conn.IsReusable() {
 			return conn
 		}
 		p.Evict(conn)
@@ -99,7 +99,7 @@
 // Reserve reserves a slot for one more connection and reports whether there is one. At
 // the limit the connection that has been idle longest is closed to free its slot.
 func (p *Pool) Reserve() bool {
-	if p.open >= p.maxConns && !p.evictOldestIdle() {
+	if p.open >= p.maxConns && !p.evictLongestIdle() {
 		return false
 	}
 	p.open++
@@ -109,23 +109,23 @@
 // CancelReservation gives back a reserved slot whose dial failed.
 func (p *Pool) CancelReservation() { p.open-- }
 
-// evictOldestIdle closes the connection that has been idle longest and reports whether
+// evictLongestIdle closes the connection that has been idle longest and reports whether
 // there was one.
-func (p *Pool) evictOldestIdle() bool {
-	var oldest *Endpoint
+func (p *Pool) evictLongestIdle() bool {
+	var longestIdle *Endpoint
 	for _, endpoint := range p.endpoints {
 		if len(endpoint.idle) == 0 {
 			continue
 		}
-		if oldest == nil || endpoint.idle[0].idleSince.Before(oldest.idle[0].idleSince) {
-			oldest = endpoint
+		if longestIdle == nil || endpoint.idle[0].idleSince.Before(longestIdle.idle[0].idleSince) {
+			longestIdle = endpoint
 		}
 	}
-	if oldest == nil {
+	if longestIdle == nil {
 		return false
 	}
-	p.Evict(oldest.idle[0])
-	oldest.idle = oldest.idle[1:]
+	p.Evict(longestIdle.idle[0])
+	longestIdle.idle = longestIdle.idle[1:]
 	return true
 }
 
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -8,9 +8,9 @@
 	"swiftpitch/internal/testsupport"
 )
 
-// TestPoolLimit checks the limit on descriptors: at the limit an idle connection frees
+// TestReserveAtConnLimit checks the limit on descriptors: at the limit an idle connection frees
 // its slot, and with none idle there is no slot.
-func TestPoolLimit(t *testing.T) {
+func TestReserveAtConnLimit(t *testing.T) {
 	pool, endpoint := newTestPool(testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
 	addIdleConn(t, pool, endpoint)
 	pool.maxConns = pool.open
@@ -23,9 +23,9 @@
 	pool.CancelReservation()
 }
 
-// TestDrainGrace checks that no attempt starts after the drain grace, and that one may
+// TestNoAttemptsAfterDrainGrace checks that no attempt starts after the drain grace, and that one may
 // start within it.
-func TestDrainGrace(t *testing.T) {
+func TestNoAttemptsAfterDrainGrace(t *testing.T) {
 	pool, endpoint := newTestPool("127.0.0.1:9")
 	now := time.Now()
 	draining := EndpointUpdate{ID: "s-0", Addr: endpoint.Addr(), State: policy.Draining}
@@ -46,10 +46,10 @@
 	}
 }
 
-// TestRestartEvictsIdle guards non-idempotent requests against connections to a process
+// TestRestartOrNewAddressEvictsIdle guards non-idempotent requests against connections to a process
 // that no longer exists: when discovery reports a restart or a new address, idle
 // connections are closed.
-func TestRestartEvictsIdle(t *testing.T) {
+func TestRestartOrNewAddressEvictsIdle(t *testing.T) {
 	addr := testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr
 	pool, endpoint := newTestPool(addr)
 	original := EndpointUpdate{ID: "s-0", Addr: addr, State: policy.Serving}
