--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -10,27 +10,28 @@
 	"swiftpitch/internal/socket"
 )
 
-// Conn is one connection of a client, accepted by a [Server] and known to its [Tracker].
+// Conn is a client's connection, accepted by a [Server] and registered with its [Tracker].
 //
-// This side closes it only while no request on it has been read, and then reads nothing
-// more from it: a request that crosses the close is either served or was never read, and
-// the client sends it again.
+// The node closes a connection of its own accord only while no complete request on it is
+// in flight, and reads nothing from it afterwards. So a request that the client sends just
+// as the connection closes is either served or was never read; in the latter case the
+// client sends it again.
 type Conn struct {
 	net.Conn
 	tracker *Tracker
-	// disconnected is closed when this package sees that the client has disconnected. The
-	// HTTP library may see it first, and then ends the request's context.
+	// disconnected is closed when this package detects that the client has disconnected.
+	// net/http may detect it first and then cancels the request's context.
 	disconnected chan struct{}
-	readAhead    atomic.Pointer[readAhead] // nil until the client sends beyond a request
+	readAhead    atomic.Pointer[readAhead] // nil until the client sends more while a request is in flight
 
-	// The tracker's lock guards what is below.
+	// The tracker's lock guards the fields below.
 
-	idleSince          time.Time // when it was accepted, or its last request was answered
-	idle               bool      // its last request is answered, and nothing of the next was read
-	nextRequestStarted bool      // something of the next request was read while one was in flight
-	hasSentRequest     bool      // it has sent a whole request
-	busy               bool      // a whole request of it is in flight
-	closedLocally      bool      // closed by this side between requests
+	idleSince          time.Time // when the connection was accepted or its last request was answered
+	idle               bool      // the last request is answered, and no byte of the next one was read
+	nextRequestStarted bool      // part of the next request was read while one was in flight
+	hasSentRequest     bool      // the client has sent at least one complete request
+	busy               bool      // a complete request is in flight
+	closedLocally      bool      // the node closed the connection between requests
 }
 
 func newConn(conn net.Conn, tracker *Tracker) *Conn {
@@ -40,15 +41,15 @@
 // connKey is the key of a [Conn] in the contexts of its requests.
 type connKey struct{}
 
-// ConnFromContext returns the connection that a request came on, by the request's context.
-// It returns nil if that was not accepted by a [Server].
+// ConnFromContext returns the connection on which a request arrived, given the request's
+// context. It returns nil if no [Server] accepted that connection.
 func ConnFromContext(ctx context.Context) *Conn {
 	c, _ := ctx.Value(connKey{}).(*Conn)
 	return c
 }
 
-// Read implements [net.Conn] for the HTTP library. Once this side has closed the
-// connection there is nothing to read, whatever came meanwhile.
+// Read implements [net.Conn]; net/http calls it. Once the node has closed the connection,
+// Read returns [io.EOF] even if data has arrived in the meantime.
 func (c *Conn) Read(b []byte) (int, error) {
 	count, err := c.read(b)
 	if count == 0 {
@@ -60,8 +61,8 @@
 		return 0, io.EOF
 	}
 	c.idle = false
-	// The library watches for the client's disconnecting by reading one byte while a
-	// request is in flight. If it gets one it watches no more: from then on this side does.
+	// While a request is in flight, net/http reads one byte to detect that the client
+	// disconnects. Once it has got a byte it stops, and the read-ahead takes over.
 	if len(b) == 1 {
 		c.nextRequestStarted = true
 		if c.readAhead.Load() == nil {
@@ -99,16 +100,16 @@
 // closeLocally closes the connection between requests. The tracker's lock is held.
 func (c *Conn) closeLocally() {
 	c.closedLocally = true
-	c.Close() // the library reports the state Closed in due course
+	c.Close() // net/http then calls ConnState with StateClosed
 }
 
-// Disconnected returns a channel that is closed when this package sees that the client has
-// disconnected. A request's handler must watch the request's context too: the HTTP library
-// may see it first.
+// Disconnected returns a channel that is closed when this package detects that the client
+// has disconnected. A request's handler must watch the request's context too, because
+// net/http may detect it first.
 func (c *Conn) Disconnected() <-chan struct{} { return c.disconnected }
 
-// DetectDisconnect reports whether the client is known to have disconnected, or is found so
-// by a look at what the kernel holds, which this process may not have got round to reading.
+// DetectDisconnect reports whether the client has disconnected. If that is not known yet, it
+// peeks at the socket: the kernel may hold an end of stream that was not read so far.
 func (c *Conn) DetectDisconnect() bool {
 	select {
 	case <-c.disconnected:
@@ -118,9 +119,10 @@
 	}
 }
 
-// AcceptRequest notes that a whole request has been read from the connection and will be
-// answered. It reports false if the request must be dropped: this side has closed the
-// connection before, and the client sends the request again, or the client has disconnected.
+// AcceptRequest marks the connection as busy with a request that was read completely and
+// will be answered. The request's handler calls it. It returns false if the request must be
+// dropped, because the client has disconnected or because the node has already closed the
+// connection; in the latter case the client sends the request again.
 func (c *Conn) AcceptRequest() bool {
 	if c.DetectDisconnect() {
 		return false
@@ -134,8 +136,8 @@
 	c.busy = true
 	c.nextRequestStarted = false
 	if c.tracker.draining || c.readAhead.Load() != nil {
-		// StopReading, or the library while it read the head, may have set a read deadline.
-		// When it passed, the read would fail as if the client had disconnected, or the
+		// StopReading, or net/http while it read the head, may have set a read deadline. Once
+		// it passes, the read would fail as if the client had disconnected, or the
 		// read-ahead would stop.
 		c.SetReadDeadline(time.Time{})
 	}
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -1,16 +1,18 @@
-// Package frontend is the side of the edge node that faces its clients: the listener,
-// the clients' connections with their limit, and the parsing of requests.
+// Package frontend handles the connections between the edge node and its clients: it
+// accepts connections, limits their number, and parses requests.
 //
-// A [Server] accepts connections and runs the HTTP library on them. A [Tracker] knows
-// every open connection: it holds their number to a limit and closes the idle ones when
-// the node drains. A [Conn] also finds out that its client has disconnected while a
-// request of it is in flight. A [Parser] checks a request and reads it to its last byte.
+// A [Server] accepts connections and serves HTTP on them with net/http. A [Tracker] records
+// every open connection, limits their number, and closes the idle ones when the node
+// drains. A [Conn] also detects that its client disconnects while a request is in flight. A
+// [Parser] validates a request and reads its body.
 //
-// The package makes no decision on a request: the owner's [net/http.Handler] does, and
-// calls [Conn.AcceptRequest] once a request has been read. The owner also runs the
-// phases of a graceful shutdown, in this order: [Server.StartDraining],
-// [Server.StopAccepting], [Server.StopReading], [Server.AllClosed], [Server.Close].
+// The package does not decide which requests are admitted: the edge node's
+// [net/http.Handler] does, and calls [Conn.AcceptRequest] once it has read a request. The
+// edge node also runs the phases of a graceful shutdown, in this order:
+// [Server.StartDraining], [Server.StopAccepting], [Server.StopReading],
+// [Server.AllClosed], [Server.Close].
 //
-// A Tracker has a lock of its own, and so has each read-ahead buffer; a Tracker's lock is
-// taken before a buffer's. Neither is held while code of the owner runs.
+// The methods of Tracker, Parser and [MemoryBudget] may be called from any goroutine. Each
+// Tracker and each read-ahead buffer has its own lock; a Tracker's lock is taken before a
+// buffer's. Neither lock is held while code of the edge node runs.
 package frontend
