--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// The faults of a request that are not those of one header's value. Their texts, like those
-// of [HeaderError] and [ClassError], are the bodies of the responses with status 400.
+// Errors of [Parser.Parse] that do not concern a single header. Their texts, like those of
+// [HeaderError] and [ClassError], are sent to clients as bodies of responses with status 400.
 var (
 	ErrFraming            = errors.New("wanted: HTTP/1.1 with a Content-Length")
 	ErrInvalidTarget      = errors.New("target or Host can't be passed on")
@@ -14,7 +14,7 @@
 	ErrBodyTooLong        = errors.New("body too long")
 )
 
-// HeaderError tells that a header is missing, stands twice or has a malformed value.
+// HeaderError reports that a header is missing, repeated or malformed.
 type HeaderError struct {
 	Header  string // the header's name
 	Problem string
@@ -23,10 +23,10 @@
 // Error implements error.
 func (e *HeaderError) Error() string { return e.Header + ": " + e.Problem }
 
-// ClassError tells that a request does not fit the class that it names.
+// ClassError reports that a request violates a rule of the class that it names.
 type ClassError struct {
 	Class   string // the class's name
-	Problem string // what does not fit
+	Problem string // the rule that is violated
 }
 
 // Error implements error.
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -12,10 +12,11 @@
 	"swiftpitch/internal/testsupport"
 )
 
-// testMemory is a memory budget, in bytes, that these tests do not use up.
+// testMemory is a memory budget in bytes, larger than any of these tests needs.
 const testMemory = 64 << 20
 
-// startServer runs a server whose handler answers each complete request with 200.
+// startServer starts a server whose handler answers each request with 200, and returns its
+// address. The server stops at the end of the test.
 func startServer(t *testing.T, tracker *Tracker) (addr string) {
 	t.Helper()
 	handler := func(w http.ResponseWriter, req *http.Request) {
@@ -38,19 +39,19 @@
 	}()
 	t.Cleanup(func() {
 		server.Close()
-		testsupport.Receive(t, "the end of Serve", served)
+		testsupport.Receive(t, "the return of Serve", served)
 	})
 	return listener.Addr().String()
 }
 
-// client is one keep-alive connection of a client.
+// client is a client's keep-alive connection.
 type client struct {
 	t *testing.T
 	net.Conn
 	reader *bufio.Reader
 }
 
-// dial opens a client's connection.
+// dial opens a client's connection to a server.
 func dial(t *testing.T, addr string) *client {
 	t.Helper()
 	conn := testsupport.Dial(t, addr)
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -8,33 +8,33 @@
 	"time"
 )
 
-// backlogDrainTimeout is the time for accepting the connections that came before the
-// listener closes.
+// backlogDrainTimeout limits how long the connections that wait in the kernel's backlog are
+// accepted once the listener's deadline has passed.
 const backlogDrainTimeout = 10 * time.Millisecond
 
-// Listener accepts connections as [Conn] and ends the HTTP library's Serve once its deadline
-// has passed. The library takes a time-out of Accept for a temporary error and would retry
-// for ever.
+// Listener accepts connections as [Conn]. Once its deadline has passed, Accept returns
+// [net.ErrClosed], which ends the Serve method of net/http. A timeout error would not:
+// net/http takes it for a temporary error and retries forever.
 type Listener struct {
 	*net.TCPListener
 	tracker         *Tracker
-	drainingBacklog bool // the deadline has passed: only what has come by then is accepted
+	drainingBacklog bool // the deadline has passed, and only the backlog is still accepted
 }
 
-// NewListener returns a listener whose connections report to a tracker.
+// NewListener returns a listener on ln whose connections are recorded by tracker.
 func NewListener(ln *net.TCPListener, tracker *Tracker) *Listener {
 	return &Listener{TCPListener: ln, tracker: tracker}
 }
 
-// Accept implements [net.Listener]. One goroutine calls it.
+// Accept implements [net.Listener]. Only one goroutine may call it.
 func (l *Listener) Accept() (net.Conn, error) {
 	conn, err := l.AcceptTCP()
 	if errors.Is(err, os.ErrDeadlineExceeded) && !l.drainingBacklog {
-		// The error comes without a look at the connections that wait, and closing the
-		// listener would reset them and the requests written to them.
+		// AcceptTCP fails without checking the backlog. Closing the listener now would reset
+		// the connections in the backlog and lose the requests already sent on them.
 		l.drainingBacklog = true
 		if err := l.SetDeadline(time.Now().Add(backlogDrainTimeout)); err != nil {
-			return nil, fmt.Errorf("closing the listener: %w", err)
+			return nil, fmt.Errorf("setting the listener's deadline: %w", err)
 		}
 		conn, err = l.AcceptTCP()
 	}
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -9,11 +9,12 @@
 	"swiftpitch/internal/testsupport"
 )
 
-// Guards the connections that wait at the listener when it ends: they are accepted.
+// Guards against resetting connections that are in the kernel's backlog when the listener's
+// deadline passes: they are still accepted.
 func TestListenerDrainsBacklog(t *testing.T) {
 	listener := testsupport.Listen(t)
 	l := NewListener(listener, NewTracker(1, NewMemoryBudget(testMemory)))
-	c, err := net.Dial("tcp", listener.Addr().String()) // the kernel accepts it
+	c, err := net.Dial("tcp", listener.Addr().String()) // complete once it is in the backlog
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,6 +26,6 @@
 	}
 	got.Close()
 	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("after that: %v", err)
+		t.Errorf("Accept with an empty backlog returned the error %v, want %v", err, net.ErrClosed)
 	}
 }
--- a/internal/frontend/memory.go
+++ b/internal/frontend/memory.go
@@ -2,18 +2,19 @@
 
 import "sync/atomic"
 
-// MemoryBudget is the memory, in bytes, that all request bodies and read-ahead buffers
-// together may still take. Its methods may be called from any goroutine.
+// MemoryBudget limits the memory, in bytes, that all request bodies and read-ahead buffers
+// take together. Its methods may be called from any goroutine.
 type MemoryBudget struct{ free atomic.Int64 }
 
-// NewMemoryBudget returns a budget of which nothing is taken.
+// NewMemoryBudget returns a budget of the given size with nothing reserved.
 func NewMemoryBudget(bytes int64) *MemoryBudget {
 	budget := &MemoryBudget{}
 	budget.free.Store(bytes)
 	return budget
 }
 
-// Reserve takes memory and reports true, or takes nothing if less than that is free.
+// Reserve reserves memory and returns true. If less than that is free, it reserves nothing
+// and returns false.
 func (b *MemoryBudget) Reserve(bytes int64) bool {
 	if b.free.Add(-bytes) < 0 {
 		b.free.Add(bytes)
@@ -22,8 +23,8 @@
 	return true
 }
 
-// Release gives back memory that Reserve has taken.
+// Release returns reserved memory to the budget.
 func (b *MemoryBudget) Release(bytes int64) { b.free.Add(bytes) }
 
-// Free returns how much memory is not taken.
+// Free returns the number of bytes that are not reserved.
 func (b *MemoryBudget) Free() int64 { return b.free.Load() }
