--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -14,7 +14,7 @@
 func TestListenerDrainsBacklog(t *testing.T) {
 	listener := testsupport.Listen(t)
 	l := NewListener(listener, NewTracker(1, NewMemoryBudget(testMemory)))
-	c, err := net.Dial("tcp", listener.Addr().String()) // complete once it is in the backlog
+	c, err := net.Dial("tcp", listener.Addr().String()) // returns once the connection is in the backlog
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -9,39 +9,41 @@
 )
 
 const (
-	// maxHeaderBytes is the most bytes of a request's head.
+	// maxHeaderBytes limits the size of a request's head.
 	maxHeaderBytes = 16 << 10
-	// readHeaderTimeout is the time for a request's head, from the start of its connection
-	// or from its first bytes on. A client that sends a malformed or incomplete request must
-	// get an end within 3 s; a silent connection must be kept for 2 s.
+	// readHeaderTimeout limits the time for reading a request's head, counted from the start
+	// of the connection or from the head's first bytes. The connection of a client that
+	// sends a malformed or incomplete request must end within 3 s; a connection on which
+	// nothing is sent must stay open for 2 s.
 	readHeaderTimeout = 2200 * time.Millisecond
-	// ReadTimeout is the time for a whole request, counted like that for its head.
+	// ReadTimeout limits the time for reading a complete request, counted from the same
+	// moment as readHeaderTimeout.
 	ReadTimeout = 2700 * time.Millisecond
-	// writeTimeout is the time for writing a response, past the longest deadline.
+	// writeTimeout limits the time for writing a response after the longest deadline.
 	writeTimeout = 10 * time.Second
-	// idleTimeout is the time for a client's next request.
+	// idleTimeout limits how long a connection waits for the client's next request.
 	idleTimeout = 5 * time.Second
 )
 
-// ServerConfig is what a [Server] is made of.
+// ServerConfig configures a [Server].
 type ServerConfig struct {
 	Handler         http.Handler
-	Tracker         *Tracker      // of no other server
-	LongestDeadline time.Duration // the longest that a client waits for a response
-	Log             *slog.Logger  // gets the HTTP library's messages at the level Debug
+	Tracker         *Tracker      // must not be shared with another server
+	LongestDeadline time.Duration // the longest time that a client waits for a response
+	Log             *slog.Logger  // receives net/http's messages at level Debug
 }
 
 // Server serves HTTP to clients on one listener.
 //
-// It does without [http.Server.Shutdown]: from then on the library drops the requests that
-// it reads, without a response. The phases of its own shutdown read and serve them.
+// It does not use [http.Server.Shutdown], because net/http then drops the requests that it
+// still reads, without a response. The phases of this server's shutdown read and serve them.
 type Server struct {
 	http     *http.Server
 	listener *Listener
 	tracker  *Tracker
 }
 
-// NewServer returns a server that accepts nothing yet.
+// NewServer returns a server on ln. It accepts no connections before [Server.Serve] is called.
 func NewServer(ln *net.TCPListener, config ServerConfig) *Server {
 	return &Server{
 		http: &http.Server{
@@ -60,30 +62,31 @@
 	}
 }
 
-// Serve accepts and serves connections until the time that [Server.StopAccepting] set, or
-// until the listener fails or [Server.Close] is called. It always returns an error.
+// Serve accepts and serves connections until the time set by [Server.StopAccepting], or
+// until the listener fails or [Server.Close] is called. It always returns a non-nil error.
 func (s *Server) Serve() error { return s.http.Serve(s.listener) }
 
-// StartDraining closes the idle connections, now and as they become idle. Those with a
-// request in flight close after its response if the handler sets Connection: close, as it
-// must where [Tracker.Draining] reports true. New connections are still accepted.
+// StartDraining closes the idle connections, and from now on each connection that becomes
+// idle. A connection with a request in flight closes after the response if the handler sets
+// Connection: close, which it must do if [Tracker.Draining] returns true. New connections
+// are still accepted.
 func (s *Server) StartDraining() { s.tracker.startDraining() }
 
-// StopAccepting sets when Serve stops accepting connections and returns.
+// StopAccepting sets the time at which Serve stops accepting connections and returns.
 func (s *Server) StopAccepting(at time.Time) error {
 	if err := s.listener.SetDeadline(at); err != nil {
-		return fmt.Errorf("closing the listener: %w", err)
+		return fmt.Errorf("setting the listener's deadline: %w", err)
 	}
 	return nil
 }
 
-// StopReading gives the requests that are still on their way until a deadline to come
-// whole. It is called once Serve has returned.
+// StopReading sets the deadline by which requests that are still arriving must be complete.
+// It is called after Serve has returned.
 func (s *Server) StopReading(deadline time.Time) { s.tracker.setFinalReadDeadline(deadline) }
 
-// AllClosed returns a channel that is closed once no connection is open. It is called at
-// most once, after Serve has returned.
+// AllClosed returns a channel that is closed once no connection is open. It may be called
+// only once, after Serve has returned.
 func (s *Server) AllClosed() <-chan struct{} { return s.tracker.notifyAllClosed() }
 
-// Close closes the listener and all connections at once.
+// Close immediately closes the listener and all connections.
 func (s *Server) Close() error { return s.http.Close() }
--- a/internal/frontend/tracker.go
+++ b/internal/frontend/tracker.go
@@ -8,41 +8,41 @@
 	"time"
 )
 
-// noRequestIdleFactor is how much faster a connection ages that never sent a whole request,
-// so that those make room first. It is finite: connections that sent one request and stay
-// must not be able to fill the limit and leave the new ones to evict only each other.
+// noRequestIdleFactor multiplies the idle time of a connection that never sent a complete
+// request, so that such connections are evicted first. It is finite so that connections that
+// sent one request and stay open can't fill the limit and leave new ones to evict each other.
 const noRequestIdleFactor = 8
 
-// Tracker knows the open connections of clients. It holds their number to a limit, and
-// closes the idle ones when the node drains. It has a lock of its own; its
-// methods may be called from any goroutine.
+// Tracker records the open connections of clients. It limits their number, and closes the
+// idle ones when the node drains. It has its own lock; its methods may be called from any
+// goroutine.
 type Tracker struct {
 	maxConns int
-	memory   *MemoryBudget // for what is read ahead
+	memory   *MemoryBudget // for the read-ahead buffers
 
 	mu        sync.Mutex
-	conns     map[net.Conn]*Conn // the open ones
+	conns     map[net.Conn]*Conn // the open connections
 	draining  bool
-	allClosed chan struct{} // closed when none is open any more; nil: nobody waits for that
+	allClosed chan struct{} // closed once no connection is open; nil: not requested or already closed
 }
 
-// NewTracker returns a tracker that allows maxConns open connections. What their clients
-// send ahead of an answer takes part in the memory budget.
+// NewTracker returns a tracker that allows maxConns open connections. Data that clients send
+// before they have received a response is charged to the memory budget.
 func NewTracker(maxConns int, memory *MemoryBudget) *Tracker {
 	return &Tracker{maxConns: maxConns, memory: memory, conns: map[net.Conn]*Conn{}}
 }
 
-// Stats is a count of a tracker's connections at one moment.
+// Stats is a snapshot of the counts of a tracker's connections.
 type Stats struct {
-	MaxConns       int // how many may be open
-	Open           int
-	Idle           int // answered, and nothing of the next request was read
-	SentRequest    int // that have sent a whole request
-	ReadAhead      int // whose clients sent beyond a request in flight
-	ReadAheadBytes int // that those sent, and that are not yet consumed
+	MaxConns       int // limit on open connections
+	Open           int // open connections
+	Idle           int // connections whose last request is answered, with no byte of the next one read
+	SentRequest    int // connections that have sent at least one complete request
+	ReadAhead      int // connections whose clients sent more data while a request was in flight
+	ReadAheadBytes int // bytes of that data that are not yet consumed
 }
 
-// Stats returns a snapshot, for diagnosis and tests.
+// Stats returns the current counts, for diagnosis and tests.
 func (t *Tracker) Stats() Stats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,9 +62,9 @@
 	return stats
 }
 
-// ConnContext registers a new connection, and lets its requests' handler find it by
-// [ConnFromContext]. Beyond the limit a connection is evicted for it. It is the hook of that
-// name of an [http.Server]; the connection must come from a [Listener].
+// ConnContext records a new connection and adds it to the context of its requests, where
+// [ConnFromContext] finds it. At the limit it evicts a connection. It is the ConnContext hook
+// of an [http.Server]; the connection must come from a [Listener].
 func (t *Tracker) ConnContext(ctx context.Context, conn net.Conn) context.Context {
 	c := conn.(*Conn) // made by a Listener
 	t.mu.Lock()
@@ -79,9 +79,10 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// evictFor closes one connection so that a new one fits the limit: the longest idle of
-// those without a request in flight, where a moment weighs more on one that never sent a
-// whole request. If all are busy the new one itself goes. The lock is held.
+// evictFor closes one connection so that an incoming one fits the limit: of the connections
+// without a request in flight, the one that has been idle longest. The idle time of those
+// that never sent a complete request is multiplied by [noRequestIdleFactor]. If all are busy,
+// the incoming connection itself is closed. The lock is held.
 func (t *Tracker) evictFor(incoming *Conn) {
 	evicted := incoming
 	longest := time.Duration(-1)
@@ -100,8 +101,8 @@
 	delete(t.conns, evicted)
 }
 
-// ConnState follows the state of a connection. It is the hook of that name of an
-// [http.Server].
+// ConnState updates the record of a connection whose state has changed. It is the ConnState
+// hook of an [http.Server].
 func (t *Tracker) ConnState(conn net.Conn, state http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,17 +116,17 @@
 	}
 }
 
-// requestAnswered notes that a connection waits for its next request. The lock is held.
+// requestAnswered records that a connection's request was answered. The lock is held.
 func (t *Tracker) requestAnswered(c *Conn) {
 	c.idle = !c.nextRequestStarted
 	c.busy = false
 	c.idleSince = time.Now()
 	if t.draining && c.idle {
-		c.closeLocally() // its answer went out before it could announce the close
+		c.closeLocally() // the response was written before draining began, without Connection: close
 	}
 }
 
-// remove drops a closed connection. The lock is held.
+// remove deletes the record of a closed connection. The lock is held.
 func (t *Tracker) remove(conn net.Conn) {
 	delete(t.conns, conn)
 	if len(t.conns) == 0 && t.allClosed != nil {
@@ -134,8 +135,9 @@
 	}
 }
 
-// startDraining closes the idle connections, now and as they become idle. New ones on which
-// nothing came yet stay open: their clients would not send again what is on its way.
+// startDraining closes the idle connections, and from now on each connection that becomes
+// idle. New connections on which nothing was read yet stay open: a first request may be on
+// its way, and its client would not send it again.
 func (t *Tracker) startDraining() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -147,15 +149,15 @@
 	}
 }
 
-// Draining reports whether connections are to be closed after their answer.
+// Draining reports whether connections are to be closed after their next response.
 func (t *Tracker) Draining() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.draining
 }
 
-// setFinalReadDeadline gives the requests that are still on their way until a deadline to
-// come whole.
+// setFinalReadDeadline sets the deadline by which requests that are still arriving must be
+// complete.
 func (t *Tracker) setFinalReadDeadline(deadline time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -167,7 +169,7 @@
 }
 
 // notifyAllClosed returns a channel that is closed once no connection is open. It is called
-// once, when no new connection is accepted any more.
+// only once, after the last connection has been accepted.
 func (t *Tracker) notifyAllClosed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/frontend/tracker_test.go
+++ b/internal/frontend/tracker_test.go
@@ -10,8 +10,8 @@
 	"swiftpitch/internal/testsupport"
 )
 
-// Guards a connection on which something of the next request was read while one was in
-// flight: it is not idle afterwards, and is not closed for that when the node drains.
+// Guards against closing a connection on which part of the next request was read while one
+// was in flight: it does not become idle, and stays open when the node drains.
 func TestConnWithPartialNextRequestIsNotIdle(t *testing.T) {
 	for _, draining := range []bool{false, true} {
 		serverConn, clientConn := net.Pipe()
@@ -24,26 +24,26 @@
 		tracker.conns[c] = c
 		tracker.ConnState(c, http.StateIdle)
 		if c.idle || c.closedLocally || c.busy {
-			t.Errorf("draining %v: idle %v, shut %v, busy %v", draining, c.idle, c.closedLocally, c.busy)
+			t.Errorf("draining %v: idle %v, closedLocally %v, busy %v; want false for all three", draining, c.idle, c.closedLocally, c.busy)
 		}
 	}
 }
 
-// Guards good clients against many that send nothing or half a request: those are evicted,
-// not the connections on which whole requests came.
+// Guards connections that have sent complete requests against clients that open many
+// connections and send nothing or part of a request: the latter are evicted first.
 func TestEvictionSparesConnsThatSentRequests(t *testing.T) {
 	tracker := NewTracker(4, NewMemoryBudget(testMemory))
 	addr := startServer(t, tracker)
 	established := dial(t, addr)
 	if status := established.get(); status != http.StatusOK {
-		t.Fatalf("before the other clients: status %d", status)
+		t.Fatalf("request before the other clients connect: status %d, want %d", status, http.StatusOK)
 	}
-	testsupport.Eventually(t, "the end of its request", func() bool {
+	testsupport.Eventually(t, "the end of the established client's request", func() bool {
 		tracker.mu.Lock()
 		defer tracker.mu.Unlock()
 		for _, c := range tracker.conns {
 			if c.hasSentRequest && !c.busy {
-				c.idleSince = time.Now().Add(testsupport.MaxWait) // it has only just become idle, however slow this machine
+				c.idleSince = time.Now().Add(testsupport.MaxWait) // never the longest idle, however slow this machine
 				return true
 			}
 		}
@@ -58,7 +58,7 @@
 	fresh := dial(t, addr)
 	for i, c := range []*client{established, fresh} {
 		if status := c.get(); status != http.StatusOK {
-			t.Errorf("connection %d: status %d", i, status)
+			t.Errorf("client %d of established and fresh: status %d, want %d", i, status, http.StatusOK)
 		}
 	}
 }
