--- a/internal/frontend/readahead.go
+++ b/internal/frontend/readahead.go
@@ -9,37 +9,38 @@
 )
 
 const (
-	// MaxReadAheadBytes is how many bytes may be read ahead of a client that sends more than
-	// the request in flight: one whole further request. Past that, its disconnecting is
-	// not seen before some of them are consumed.
+	// MaxReadAheadBytes limits the data that is read ahead on a connection while a request is
+	// in flight: one complete further request. While the buffer is full, a disconnect of the
+	// client is not detected.
 	MaxReadAheadBytes = maxHeaderBytes + MaxBodyBytes
-	// ReadAheadChunkBytes is how many bytes are read at a time. The first chunk needs no share
-	// of the memory budget: a stray line end, or a usual request.
+	// ReadAheadChunkBytes is the largest number of bytes read at a time. The first chunk is
+	// read without a reservation of memory: it holds a stray line end or a request of usual
+	// size.
 	ReadAheadChunkBytes = 512
 )
 
-// readAhead reads a connection whose client sends while its request is in flight: only
-// who reads on sees that the client disconnects. What comes is kept, in its order, for
-// Read. A goroutine of its own reads the connection; the methods may be called from any
-// other one.
+// readAhead reads a connection whose client sends more data while a request is in flight,
+// because the client's disconnect is only detected by reading on. The data is buffered for
+// Read. A separate goroutine reads the connection; the methods other than run may be called
+// from any goroutine.
 type readAhead struct {
 	conn         net.Conn
 	memory       *MemoryBudget   // shared by all connections
-	disconnected chan<- struct{} // closed at the connection's end
+	disconnected chan<- struct{} // closed when the connection ends
 
 	mu       sync.Mutex
-	changed  *sync.Cond // some field below has changed
-	buffer   []byte     // read and not yet consumed
-	reserved int64      // bytes taken from memory
-	err      error      // how the connection ended
-	timedOut bool       // the read deadline has passed, and no other was set since
-	// deadlineVersion counts the deadlines: a read that met the last one may return after
-	// the next was set, and then does not count.
+	changed  *sync.Cond // signals that a field below has changed
+	buffer   []byte     // data read and not yet consumed
+	reserved int64      // bytes reserved in the memory budget
+	err      error      // the read error that ended the connection
+	timedOut bool       // the read deadline has passed, and none was set since
+	// deadlineVersion counts the deadlines that were set. A read that hit one deadline may
+	// return after the next one was set; its timeout is then ignored.
 	deadlineVersion int
-	closed          bool // by this side
+	closed          bool // the node has closed the connection
 }
 
-// newReadAhead begins to read conn until its end. Nobody else may read it from then on.
+// newReadAhead starts to read conn until it ends. Nothing else may read conn from then on.
 func newReadAhead(conn net.Conn, memory *MemoryBudget, disconnected chan<- struct{}) *readAhead {
 	a := &readAhead{conn: conn, memory: memory, disconnected: disconnected}
 	a.changed = sync.NewCond(&a.mu)
@@ -47,7 +48,7 @@
 	return a
 }
 
-// run fills the buffer. It ends with the connection, which its owner closes.
+// run fills the buffer until the connection fails or its owner closes it.
 func (a *readAhead) run() {
 	defer close(a.disconnected)
 	var chunk [ReadAheadChunkBytes]byte
@@ -63,8 +64,9 @@
 	}
 }
 
-// awaitCapacity waits until more may be read. It returns how much, and the version of the
-// deadline that the read will meet. It reports false once this side has closed the connection.
+// awaitCapacity waits until more may be read. It returns the size of the next read and the
+// version of the deadline that applies to it. ok is false once the node has closed the
+// connection.
 func (a *readAhead) awaitCapacity() (size, deadlineVersion int, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -74,8 +76,8 @@
 	return min(ReadAheadChunkBytes, MaxReadAheadBytes-len(a.buffer)), a.deadlineVersion, !a.closed
 }
 
-// reserve takes the memory for what is kept and reports whether another chunk may be read.
-// The lock is held.
+// reserve reserves memory for the buffered data and reports whether another chunk may be
+// read. The lock is held.
 func (a *readAhead) reserve() bool {
 	for int64(len(a.buffer)) > a.reserved {
 		if !a.memory.Reserve(ReadAheadChunkBytes) {
@@ -86,7 +88,7 @@
 	return len(a.buffer) < MaxReadAheadBytes
 }
 
-// store keeps the result of one read and reports whether the connection can be read on.
+// store records the result of one read and reports whether reading continues.
 func (a *readAhead) store(chunk []byte, err error, deadlineVersion int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -101,7 +103,7 @@
 	return a.err == nil
 }
 
-// Read returns what was read ahead, else waits for more, until the deadline.
+// Read returns buffered data. If there is none, it waits for some until the deadline.
 func (a *readAhead) Read(b []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -125,14 +127,14 @@
 	return count, nil
 }
 
-// release drops the buffer and gives back its memory. The lock is held.
+// release drops the buffer and returns its memory to the budget. The lock is held.
 func (a *readAhead) release() {
 	a.buffer = nil
 	a.memory.Release(a.reserved)
 	a.reserved = 0
 }
 
-// setReadDeadline sets the deadline of the connection's reads and of Read.
+// setReadDeadline sets the deadline for reads from the connection and for Read.
 func (a *readAhead) setReadDeadline(deadline time.Time) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -143,14 +145,15 @@
 	return err
 }
 
-// buffered returns how many bytes are kept for Read.
+// buffered returns the number of bytes in the buffer.
 func (a *readAhead) buffered() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.buffer)
 }
 
-// close wakes all that wait, once the connection is closed.
+// close wakes all waiting goroutines and drops the buffer. It is called after the connection
+// was closed.
 func (a *readAhead) close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
