--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// MaxBodyBytes is the most bytes of a request's body.
+	// MaxBodyBytes limits the size of a request's body.
 	MaxBodyBytes = config.MaxBodyBytes
-	// maxIdempotencyKeyBytes is the most bytes of an Idempotency-Key.
+	// maxIdempotencyKeyBytes limits the length of an Idempotency-Key.
 	maxIdempotencyKeyBytes = 256
-	// tenantBits is how many bits a tenant's number has, in a field of 16 hexadecimal digits.
+	// tenantBits is the size of a tenant's number, which is sent as 16 hexadecimal digits.
 	tenantBits = 33
-	// timeoutBits bounds X-Expires-In-Ms, in milliseconds.
+	// timeoutBits is the size of the number of milliseconds in X-Expires-In-Ms.
 	timeoutBits = 31
 )
 
-// The headers that stand in every request exactly once.
+// Headers that every request must contain exactly once.
 const (
 	traceIDHeader = "X-Trace-Id"
 	classHeader   = "X-Qos"
@@ -34,32 +34,32 @@
 )
 
 const (
-	idempotencyKeyHeader = "Idempotency-Key" // in requests of some classes
-	retryHeader          = "X-Second-Try"    // "1" if the client repeats a request
+	idempotencyKeyHeader = "Idempotency-Key" // required by some classes, not allowed by the others
+	retryHeader          = "X-Second-Try"    // "1" if the request is a client's retry
 )
 
-// Request is a client's request, checked and read to its last byte.
+// Request is a client's request, validated and read completely.
 type Request struct {
-	Event       policy.RequestReceived // what the policy is told of it
+	Event       policy.RequestReceived // the event that reports the request to the policy
 	ForwardHead []byte                 // the head for endpoints, up to the value of X-Expires-In-Ms
 	Body        []byte
-	ReceivedAt  time.Time // when its last byte was read; its time runs from then on
-	Deadline    time.Time // when its client gives up
-	// DedupWindow is for how long endpoints drop repeats of it; 0: its class has no
-	// idempotency key.
+	ReceivedAt  time.Time // when the last byte was read; the client's timeout counts from then on
+	Deadline    time.Time // when the client stops waiting
+	// DedupWindow is how long endpoints discard duplicates of the request; 0: its class has
+	// no idempotency key.
 	DedupWindow time.Duration
 }
 
-// Parser checks clients' requests against the settings. It keeps no state and may be used
+// Parser validates clients' requests against the settings. It is stateless and may be used
 // by any number of goroutines.
 type Parser struct{ settings *config.Settings }
 
-// NewParser returns a parser of requests of the settings' classes and plans.
+// NewParser returns a parser for the classes and plans in settings.
 func NewParser(settings *config.Settings) *Parser { return &Parser{settings: settings} }
 
-// Parse checks a request and reads its body. The error's text may be sent to the client: a
-// [*HeaderError], a [*ClassError], one of the sentinels of this package, or what broke the
-// reading of the body. A request whose head has a fault is not read any further.
+// Parse validates a request and reads its body. The text of the error may be sent to the
+// client: it is a [*HeaderError], a [*ClassError], one of this package's sentinel errors, or
+// the error of reading the body. If the head is invalid, the body is not read.
 func (p *Parser) Parse(req *http.Request) (Request, error) {
 	if err := checkFramingAndTarget(req); err != nil {
 		return Request{}, err
@@ -95,10 +95,11 @@
 	return request, nil
 }
 
-// checkFramingAndTarget checks the framing and what is forwarded as it stands.
+// checkFramingAndTarget checks the framing, and the target and host, which are forwarded
+// unchanged.
 func checkFramingAndTarget(req *http.Request) error {
-	// The library drops a length beside a Transfer-Encoding, under HTTP/1.0 the
-	// encoding: what is left can't be told from a request hidden in a body.
+	// net/http removes a Content-Length that comes with a Transfer-Encoding, and under
+	// HTTP/1.0 the Transfer-Encoding, so a request smuggled in a body can't be detected.
 	if len(req.TransferEncoding) > 0 || !req.ProtoAtLeast(1, 1) {
 		return ErrFraming
 	}
@@ -108,13 +109,13 @@
 	return nil
 }
 
-// requestHeaders are the values of the headers that stand in every request.
+// requestHeaders holds the values of the headers that every request must contain.
 type requestHeaders struct {
 	traceID, class, plan, tenant, timeout, terms string
 }
 
-// readHeaders returns the values of the headers that stand in every request, or the error
-// of the first one at fault.
+// readHeaders returns the values of the headers that every request must contain, or the
+// error for the first invalid one.
 func readHeaders(header http.Header) (requestHeaders, error) {
 	reader := headerReader{header: header}
 	values := requestHeaders{
@@ -128,13 +129,13 @@
 	return values, reader.err
 }
 
-// headerReader reads headers up to the first one at fault.
+// headerReader reads the values of headers and keeps the first error.
 type headerReader struct {
 	header http.Header
-	err    error // of the first header at fault
+	err    error // for the first invalid header; nil: none so far
 }
 
-// singleValue returns the value of a header that must stand in a request exactly once.
+// singleValue returns the value of a header that a request must contain exactly once.
 func (r *headerReader) singleValue(name string) string {
 	if r.err != nil {
 		return ""
@@ -147,7 +148,7 @@
 	return values[0]
 }
 
-// parseEvent checks the values of the headers and returns what the policy is told.
+// parseEvent validates the values of the headers and returns the event for the policy.
 func (p *Parser) parseEvent(req *http.Request, headers *requestHeaders) (policy.RequestReceived, error) {
 	event := policy.RequestReceived{
 		RequestID: headers.traceID,
@@ -180,7 +181,7 @@
 	return event, err
 }
 
-// classIndex returns the place of a class in the settings; -1: there is none of that name.
+// classIndex returns the index of a class in the settings, or -1 if there is none of that name.
 func (p *Parser) classIndex(name string) int {
 	index := -1
 	for i := range p.settings.Classes {
@@ -191,7 +192,7 @@
 	return index
 }
 
-// planIndex returns the place of a plan in the settings; -1: there is none of that name.
+// planIndex returns the index of a plan in the settings, or -1 if there is none of that name.
 func (p *Parser) planIndex(name string) int {
 	index := -1
 	for i := range p.settings.Plans {
@@ -208,7 +209,7 @@
 	return ok && (rest == "" || rest[0] == '/' || rest[0] == '?')
 }
 
-// parseTenant reads the number of a tenant.
+// parseTenant parses the number of a tenant.
 func parseTenant(text string) (uint64, error) {
 	tenant, err := strconv.ParseUint(text, 16, tenantBits)
 	if err != nil || !isHexID(text) {
@@ -217,7 +218,7 @@
 	return tenant, nil
 }
 
-// parseTimeout reads how long the client still waits.
+// parseTimeout parses the number of milliseconds that the client still waits.
 func parseTimeout(text string) (time.Duration, error) {
 	milliseconds, err := strconv.ParseUint(text, 10, timeoutBits)
 	if err != nil || milliseconds == 0 {
@@ -226,8 +227,8 @@
 	return time.Duration(milliseconds) * time.Millisecond, nil
 }
 
-// checkClass checks a request's method, idempotency key and length against its class. It
-// returns the key; "": the class has none.
+// checkClass checks a request's method, idempotency key and body length against its class.
+// It returns the key, or "" if the class has none.
 func checkClass(req *http.Request, class *config.Class) (key string, err error) {
 	method := http.MethodPost
 	keyCount := 0
@@ -250,12 +251,12 @@
 	return keys[0], nil
 }
 
-// isIdempotencyKey reports whether a key can be forwarded as it stands.
+// isIdempotencyKey reports whether a key can be forwarded unchanged.
 func isIdempotencyKey(key string) bool {
 	return isVisibleASCII(key) && len(key) <= maxIdempotencyKeyBytes
 }
 
-// readBody reads a request's body to its end; nil: it has none.
+// readBody reads a request's body completely. It returns nil if there is none.
 func readBody(req *http.Request) ([]byte, error) {
 	if req.ContentLength <= 0 {
 		return nil, nil
@@ -267,7 +268,7 @@
 	return body, nil
 }
 
-// isVisibleASCII reports whether text is of visible ASCII characters alone, and not empty.
+// isVisibleASCII reports whether text consists of visible ASCII characters and is not empty.
 func isVisibleASCII(text string) bool {
 	for i := range len(text) {
 		if text[i] <= ' ' || text[i] > '~' {
@@ -277,7 +278,7 @@
 	return text != ""
 }
 
-// isHexID reports whether text is an id: 16 hexadecimal digits.
+// isHexID reports whether text consists of 16 hexadecimal digits.
 func isHexID(text string) bool {
 	_, err := strconv.ParseUint(text, 16, 64)
 	return err == nil && len(text) == 16
--- a/internal/frontend/request_test.go
+++ b/internal/frontend/request_test.go
@@ -12,7 +12,7 @@
 	"swiftpitch/internal/policy"
 )
 
-// parserSettings has one class of each idempotency.
+// parserSettings returns settings with one class of each kind of idempotency.
 func parserSettings() *config.Settings {
 	return &config.Settings{
 		Gateways: 2,
@@ -26,7 +26,7 @@
 	}
 }
 
-// newHTTPRequest returns a well-formed request of a class.
+// newHTTPRequest returns a valid request of a class.
 func newHTTPRequest(class string) *http.Request {
 	req := httptest.NewRequest(http.MethodGet, "/"+class+"/x?q=1", nil)
 	if class != "lookup" {
@@ -41,14 +41,14 @@
 	return req
 }
 
-// Guards what a well-formed request is read as.
+// Guards the result of parsing a valid request of each class.
 func TestParseValidRequest(t *testing.T) {
 	for i, want := range []struct {
 		class, body, head string
 		timeout, window   time.Duration
 	}{
 		{"lookup", "", "GET /lookup/x?q=1 HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: 00000000000000aa\r\nX-Expires-In-Ms: ",
-			time.Second, 0}, // the class's deadline is shorter than what the request names
+			time.Second, 0}, // the class's deadline is shorter than the request's timeout
 		{"save", "0123456789", "POST /save/x?q=1 HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: 00000000000000aa\r\n" +
 			"Idempotency-Key: k-1\r\nContent-Length: 10\r\nX-Expires-In-Ms: ", 3 * time.Second, time.Minute},
 		{"merge", "0123456789", "POST /merge/x?q=1 HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: 00000000000000aa\r\n" +
@@ -65,10 +65,11 @@
 			t.Errorf("%s: event %+v, want %+v", want.class, got.Event, event)
 		}
 		if string(got.ForwardHead) != want.head || string(got.Body) != want.body {
-			t.Errorf("%s: head %q, body %q", want.class, got.ForwardHead, got.Body)
+			t.Errorf("%s: head %q, body %q; want %q, %q", want.class, got.ForwardHead, got.Body, want.head, want.body)
 		}
 		if got.Deadline.Sub(got.ReceivedAt) != want.timeout || got.DedupWindow != want.window {
-			t.Errorf("%s: %v until the deadline, dedup window %v", want.class, got.Deadline.Sub(got.ReceivedAt), got.DedupWindow)
+			t.Errorf("%s: %v until the deadline, dedup window %v; want %v, %v", want.class, got.Deadline.Sub(got.ReceivedAt), got.DedupWindow,
+				want.timeout, want.window)
 		}
 	}
 }
@@ -78,8 +79,8 @@
 	return func(req *http.Request) { req.Header[name] = values }
 }
 
-// parseErrorTests are edits that make a well-formed request of a class malformed, and the texts
-// of the errors that come of them.
+// parseErrorTests lists edits that make a valid request of a class invalid, and the texts of
+// the resulting errors.
 var parseErrorTests = []struct {
 	class string
 	edit  func(*http.Request)
@@ -110,8 +111,8 @@
 	{"merge", func(req *http.Request) { req.ContentLength = 11 }, "body: unexpected EOF"},
 }
 
-// Guards what a client reads of a malformed request, and that the error names the header
-// or class at fault.
+// Guards the error texts, which clients receive as bodies of responses, and the header or
+// class that an error names.
 func TestParseErrors(t *testing.T) {
 	for _, c := range parseErrorTests {
 		req := newHTTPRequest(c.class)
@@ -123,10 +124,10 @@
 		}
 		header, _, hasColon := strings.Cut(c.text, ": ")
 		if fault, ok := errors.AsType[*HeaderError](err); ok && (fault.Header != header || !hasColon) {
-			t.Errorf("%q names the header %q", c.text, fault.Header)
+			t.Errorf("error %q names the header %q, want %q", c.text, fault.Header, header)
 		}
 		if fault, ok := errors.AsType[*ClassError](err); ok && fault.Class != c.class {
-			t.Errorf("%q names the class %q", c.text, fault.Class)
+			t.Errorf("error %q names the class %q, want %q", c.text, fault.Class, c.class)
 		}
 	}
 }
--- a/internal/frontend/terms.go
+++ b/internal/frontend/terms.go
@@ -10,18 +10,18 @@
 
 // requestTerms is the content of an Api-Terms header.
 type requestTerms struct {
-	units        term // that the request counts
-	gateways     term // gateways through which the tenant's requests come
-	firstGateway term // the first of those gateways; checked and not used
+	units        term // "units": quota units that the request takes
+	gateways     term // "spread": number of gateways that receive the tenant's requests
+	firstGateway term // "first": index of the first of those gateways; validated but not used
 }
 
-// term is one figure of an Api-Terms header.
+// term is one number in an Api-Terms header.
 type term struct {
 	value   float64
 	present bool
 }
 
-// byName returns the figure of a name; nil: it is not known.
+// byName returns the term with that name in the header, or nil if the name is unknown.
 func (t *requestTerms) byName(name string) *term {
 	switch name {
 	case "units":
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// parseTerms reads an Api-Terms header of the form units=2,spread=3,first=1. Figures of
-// other names are skipped.
+// parseTerms parses an Api-Terms header of the form units=2,spread=3,first=1. Numbers with
+// other names are ignored.
 func (p *Parser) parseTerms(text string) (requestTerms, error) {
 	var terms requestTerms
 	for part := range strings.SplitSeq(text, ",") {
@@ -63,10 +63,10 @@
 	return terms, nil
 }
 
-// inRange reports whether a figure is one that a request may name.
+// inRange reports whether a request may set the named term to value.
 func (p *Parser) inRange(name string, value float64) bool {
 	gateways := float64(p.settings.Gateways)
-	maxUnits := p.settings.Service.MaxRequestUnits // 0: any number
+	maxUnits := p.settings.Service.MaxRequestUnits // 0: no limit
 	switch name {
 	case "units":
 		return value != 0 && (maxUnits <= 0 || value <= maxUnits)
@@ -78,6 +78,7 @@
 	return true
 }
 
+// termsError returns a [*HeaderError] for the Api-Terms header.
 func termsError(format string, args ...any) error {
 	return &HeaderError{Header: termsHeader, Problem: fmt.Sprintf(format, args...)}
 }
