--- a/cmd/edgenode/main.go
+++ b/cmd/edgenode/main.go
@@ -36,7 +36,7 @@
 // run serves until a signal ends the node, and reloads its configuration at each hangup.
 func run(hangup <-chan os.Signal) error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	path := os.Getenv(config.PathVariable)
+	path := os.Getenv(config.FileVariable)
 	cfg, limits, err := load(path)
 	if err != nil {
 		return err
@@ -59,8 +59,8 @@
 		return edge.Config{}, config.ProcessLimits{}, err
 	}
 	var known discovery.List
-	if len(file.Known) > 0 {
-		if err := json.Unmarshal(file.Known, &known); err != nil {
+	if len(file.CachedList) > 0 {
+		if err := json.Unmarshal(file.CachedList, &known); err != nil {
 			err = &config.KeyError{Key: "known", Err: err}
 			return edge.Config{}, config.ProcessLimits{}, fmt.Errorf("configuration: %w", err)
 		}
--- a/cmd/edgenode/main_test.go
+++ b/cmd/edgenode/main_test.go
@@ -137,7 +137,7 @@
 func TestSignals(t *testing.T) {
 	path := writeConfig(t, validConfig)
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
-	cmd.Env = append(os.Environ(), runMainVariable+"=1", config.PathVariable+"="+path)
+	cmd.Env = append(os.Environ(), runMainVariable+"=1", config.FileVariable+"="+path)
 	log, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/edgenode/process_test.go
+++ b/cmd/edgenode/process_test.go
@@ -72,7 +72,7 @@
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
 	cmd.Env = append(os.Environ(),
 		runMainVariable+"=1",
-		config.PathVariable+"="+configPath,
+		config.FileVariable+"="+configPath,
 		fmt.Sprintf("%s=%d", fileLimitVariable, maxFiles))
 	log, err := cmd.StderrPipe()
 	if err != nil {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -23,10 +23,10 @@
 // Unwrap returns the fault without its key.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// missing returns the error for a key without a value.
-func missing(key string) error { return &KeyError{Key: key, Err: ErrMissing} }
+// missingKeyError returns the error for a key without a value.
+func missingKeyError(key string) error { return &KeyError{Key: key, Err: ErrMissing} }
 
-// unknownValue returns the error for a key with a value outside its list.
-func unknownValue(key string, value []byte) error {
+// unknownValueError returns the error for a key with a value outside its list.
+func unknownValueError(key string, value []byte) error {
 	return &KeyError{Key: key, Err: fmt.Errorf("%w %q", ErrUnknownValue, value)}
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -12,7 +12,7 @@
 
 // The environment variables of an edge node. An address in the file takes precedence over its variable.
 const (
-	PathVariable      = "RELAY_CONFIG"    // path of the configuration file
+	FileVariable      = "RELAY_CONFIG"    // path of the configuration file
 	ListenVariable    = "RELAY_LISTEN"    // address for clients, if the file names none
 	DiscoveryVariable = "RELAY_DISCOVERY" // address of discovery, if the file names none
 )
@@ -27,7 +27,7 @@
 	Counter       string          // address of the counter; empty: none
 	Seed          uint64          // of this incarnation's random numbers
 	ProcessLimits ProcessLimits   // what the machine allows the process
-	Known         json.RawMessage // discovery's list as last received, in discovery's form; empty: none
+	CachedList    json.RawMessage // discovery's list as last received, in discovery's form; empty: none
 	Settings      *Settings
 }
 
@@ -49,11 +49,11 @@
 	Counter       string          `json:"counter"`
 	Seed          string          `json:"seed"` // hexadecimal
 	ProcessLimits ProcessLimits   `json:"limits"`
-	Known         json.RawMessage `json:"known"`
+	CachedList    json.RawMessage `json:"known"`
 	Settings      json.RawMessage `json:"settings"`
 }
 
-// Load reads and checks the configuration file at a path, which is empty if [PathVariable] is
+// Load reads and checks the configuration file at a path, which is empty if [FileVariable] is
 // not set. Addresses that it leaves out are taken from the environment. A fault of one key is
 // a [*KeyError] in the error's chain.
 func Load(path string) (*File, error) {
@@ -66,7 +66,7 @@
 
 func load(path string) (*File, error) {
 	if path == "" {
-		return nil, missing(PathVariable)
+		return nil, missingKeyError(FileVariable)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -76,12 +76,12 @@
 	if err := json.Unmarshal(text, &doc); err != nil {
 		return nil, err
 	}
-	doc.completeFromEnvironment()
-	return doc.check()
+	doc.applyEnvironment()
+	return doc.validate()
 }
 
-// completeFromEnvironment fills in the addresses that the file leaves out.
-func (d *document) completeFromEnvironment() {
+// applyEnvironment fills in the addresses that the file leaves out.
+func (d *document) applyEnvironment() {
 	if d.Listen == "" {
 		d.Listen = os.Getenv(ListenVariable)
 	}
@@ -90,21 +90,21 @@
 	}
 }
 
-// check returns the file that the document stands for, or the error of the first key at fault.
-func (d *document) check() (*File, error) {
+// validate returns the file that the document stands for, or the error of the first key at fault.
+func (d *document) validate() (*File, error) {
 	seed, err := strconv.ParseUint(d.Seed, 16, 64)
 	if err != nil {
 		return nil, &KeyError{Key: "seed", Err: err}
 	}
-	if err := d.checkPresence(); err != nil {
+	if err := d.checkRequiredKeys(); err != nil {
 		return nil, err
 	}
 	settings, err := Decode(d.Settings)
 	if err != nil {
 		return nil, &KeyError{Key: "settings", Err: err}
 	}
-	if settings.Service.CounterEnabled && d.Counter == "" {
-		return nil, missing("counter")
+	if settings.Accounting.CounterEnabled && d.Counter == "" {
+		return nil, missingKeyError("counter")
 	}
 	if err := d.checkAddresses(); err != nil {
 		return nil, err
@@ -119,20 +119,20 @@
 		Counter:       d.Counter,
 		Seed:          seed,
 		ProcessLimits: d.ProcessLimits,
-		Known:         d.Known,
+		CachedList:    d.CachedList,
 		Settings:      settings,
 	}, nil
 }
 
-// checkPresence checks that every key is set that each configuration needs.
-func (d *document) checkPresence() error {
+// checkRequiredKeys checks that every key is set that each configuration needs.
+func (d *document) checkRequiredKeys() error {
 	switch {
 	case d.Listen == "":
-		return missing("listen")
+		return missingKeyError("listen")
 	case d.Discovery == "":
-		return missing("discovery")
+		return missingKeyError("discovery")
 	case len(d.Settings) == 0:
-		return missing("settings")
+		return missingKeyError("settings")
 	}
 	return nil
 }
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -56,8 +56,8 @@
 	if got := file.ProcessLimits.MemoryBytes(); got != 192<<20 {
 		t.Errorf("memory: %d bytes", got)
 	}
-	if string(file.Known) != `{"generation":41}` {
-		t.Errorf("known: %s", file.Known)
+	if string(file.CachedList) != `{"generation":41}` {
+		t.Errorf("known: %s", file.CachedList)
 	}
 	if file.Settings.Gateways != 2 || file.Settings.Classes[0].Name != "c" {
 		t.Errorf("settings: %+v", file.Settings)
@@ -118,7 +118,7 @@
 	clearEnvironment(t)
 	_, err := config.Load("")
 	var keyError *config.KeyError
-	if !errors.As(err, &keyError) || keyError.Key != config.PathVariable || !errors.Is(err, config.ErrMissing) {
+	if !errors.As(err, &keyError) || keyError.Key != config.FileVariable || !errors.Is(err, config.ErrMissing) {
 		t.Errorf("without a path: %v", err)
 	}
 	_, err = config.Load(filepath.Join(t.TempDir(), "none"))
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -20,18 +20,18 @@
 // Settings is the settings object. Keys that neither program has a use for are left out and
 // ignored. On the wire and in the file durations are nanoseconds.
 type Settings struct {
-	Gateways      int         `json:"nInstances"`
-	GatewayIndex  int         `json:"rank"`
-	Zone          int         `json:"locality"`
-	Zones         []string    `json:"localities"`
-	DiscoveryMode string      `json:"membershipMode"`
-	Classes       []Class     `json:"classes"`
-	Plans         []Plan      `json:"tiersOfService"`
-	Rules         Rules       `json:"contract"`
-	Service       Service     `json:"familyInfo"`
-	Limits        Limits      `json:"limits"`
-	Costs         Costs       `json:"prices"`
-	LoadReports   LoadReports `json:"report"`
+	Gateways      int           `json:"nInstances"`
+	GatewayIndex  int           `json:"rank"`
+	Zone          int           `json:"locality"`
+	Zones         []string      `json:"localities"`
+	DiscoveryMode string        `json:"membershipMode"`
+	Classes       []Class       `json:"classes"`
+	Plans         []Plan        `json:"tiersOfService"`
+	EndpointRules EndpointRules `json:"contract"`
+	Accounting    Accounting    `json:"familyInfo"`
+	Limits        Limits        `json:"limits"`
+	Costs         Costs         `json:"prices"`
+	LoadReports   LoadReports   `json:"report"`
 }
 
 // Class is one kind of request.
@@ -61,9 +61,9 @@
 	Rate               float64 `json:"refill"`
 }
 
-// Rules holds the figures of the service's rules: how discovery, draining and slow start
+// EndpointRules holds the figures of the service's rules: how discovery, draining and slow start
 // behave.
-type Rules struct {
+type EndpointRules struct {
 	SubscriptionTimeout time.Duration `json:"askEvery"`
 	SlowStartCapacity   float64       `json:"coldFrom"`
 	DrainGrace          time.Duration `json:"drainGrace"`
@@ -72,8 +72,8 @@
 	SlowStartDuration   time.Duration `json:"warmUp"`
 }
 
-// Service holds the figures of this kind of service.
-type Service struct {
+// Accounting holds the figures of this kind of service.
+type Accounting struct {
 	CounterEnabled      bool          `json:"counter"`
 	CounterTimeout      time.Duration `json:"countWait"`
 	MeterPeriod         time.Duration `json:"meter"`
@@ -83,14 +83,14 @@
 
 // Limits is what the site permits.
 type Limits struct {
-	AllowCancel       bool          `json:"cancel"`
-	DialTimeout       time.Duration `json:"dialTimeout"`
-	IdleClose         time.Duration `json:"idleClose"`
-	MaxAttempts       int           `json:"maxAttempts"`
-	MaxRetryAfter     time.Duration `json:"maxRetryAfter"`
-	AllowHealthChecks bool          `json:"probes"`
-	AllowRetryAfter   bool          `json:"retryAfter"`
-	AllowHedging      bool          `json:"secondCopies"`
+	AllowCancel         bool          `json:"cancel"`
+	DialTimeout         time.Duration `json:"dialTimeout"`
+	EndpointIdleTimeout time.Duration `json:"idleClose"`
+	MaxAttempts         int           `json:"maxAttempts"`
+	MaxRetryAfter       time.Duration `json:"maxRetryAfter"`
+	AllowHealthChecks   bool          `json:"probes"`
+	AllowRetryAfter     bool          `json:"retryAfter"`
+	AllowHedging        bool          `json:"secondCopies"`
 }
 
 // Costs holds what an attempt can cost.
@@ -128,7 +128,7 @@
 func (i *Idempotency) UnmarshalText(text []byte) error {
 	value, ok := idempotencyByName[string(text)]
 	if !ok {
-		return unknownValue("effect", text)
+		return unknownValueError("effect", text)
 	}
 	*i = Idempotency(value)
 	return nil
@@ -139,7 +139,7 @@
 func (d *DedupScope) UnmarshalText(text []byte) error {
 	value, ok := dedupScopeByName[string(text)]
 	if !ok {
-		return unknownValue("group", text)
+		return unknownValueError("group", text)
 	}
 	*d = DedupScope(value)
 	return nil
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -214,7 +214,7 @@
 	settings := &config.Settings{
 		Gateways:      fleetSize,
 		DiscoveryMode: mode,
-		Rules:         config.Rules{DrainGrace: 2 * time.Second, SubscriptionTimeout: 10 * time.Second},
+		EndpointRules: config.EndpointRules{DrainGrace: 2 * time.Second, SubscriptionTimeout: 10 * time.Second},
 	}
 	var list List
 	if known {
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -93,7 +93,7 @@
 	if settings.DiscoveryMode == config.DiscoveryPolled {
 		return newPollTiming(settings.Gateways)
 	}
-	return newWatchTiming(settings.Rules.DrainGrace)
+	return newWatchTiming(settings.EndpointRules.DrainGrace)
 }
 
 func newPollTiming(gateways int) Timing {
--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -235,7 +235,7 @@
 
 // plausibleUnits reports whether a request can take that many quota units.
 func (n *Node) plausibleUnits(units float64) bool {
-	maxUnits := n.cfg.Settings.Service.MaxRequestUnits
+	maxUnits := n.cfg.Settings.Accounting.MaxRequestUnits
 	return maxUnits <= 0 || units <= maxUnits
 }
 
--- a/internal/edge/attempt_test.go
+++ b/internal/edge/attempt_test.go
@@ -43,7 +43,7 @@
 	io.WriteString(c, clientRequest("merge", "00000000000000aa"))
 	<-started
 	h.node.mu.Lock()
-	drainedAt := time.Now().Add(-h.node.cfg.Settings.Rules.DrainGrace)
+	drainedAt := time.Now().Add(-h.node.cfg.Settings.EndpointRules.DrainGrace)
 	h.node.pool.UpdateEndpoint(upstream.EndpointUpdate{ID: "s-0", Addr: endpoint.Addr, State: policy.Draining}, drainedAt)
 	h.node.mu.Unlock()
 	close(release)
@@ -147,7 +147,7 @@
 	for text, want := range map[string]float64{"3": 3, "2.5": 2.5, "-1": 0, "NaN": 0, "1e9": 0, "999999": 0, "": 0} {
 		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondWith("HTTP/1.1 200 OK\r\nApi-Charge: "+text+"\r\nContent-Length: 2\r\n\r\nok"))
 		cfg := testConfig(t)
-		cfg.Settings.Service.MaxRequestUnits = 6
+		cfg.Settings.Accounting.MaxRequestUnits = 6
 		h := startNode(t, cfg, endpoint.Addr)
 		recorder := actualUnitsRecorder{policyGateway: h.node.gateway, units: make(chan float64, 8)}
 		h.node.mu.Lock()
--- a/internal/edge/counter.go
+++ b/internal/edge/counter.go
@@ -28,5 +28,5 @@
 		n.dispatch(policy.CounterReplied{Key: addition.Key, Outcome: policy.ConnectFailed})
 		return
 	}
-	n.counter.Add(addition, counterTimeoutFactor*n.cfg.Settings.Service.CounterTimeout)
+	n.counter.Add(addition, counterTimeoutFactor*n.cfg.Settings.Accounting.CounterTimeout)
 }
--- a/internal/edge/counter_test.go
+++ b/internal/edge/counter_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	cfg := testConfig(t)
 	cfg.Counter = address
-	cfg.Settings.Service.CounterTimeout = timeout
+	cfg.Settings.Accounting.CounterTimeout = timeout
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -112,7 +112,7 @@
 	if got := replies.next(t); got.Outcome != policy.TimedOut {
 		t.Errorf("first call: %+v", got)
 	}
-	n.cfg.Settings.Service.CounterTimeout = testsupport.MaxWait
+	n.cfg.Settings.Accounting.CounterTimeout = testsupport.MaxWait
 	n.testAdd(1, 1)
 	close(release)
 	if got := replies.next(t); got.Outcome != policy.Succeeded || got.Total != 222 {
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -78,8 +78,8 @@
 		return true
 	})
 	cfg := testConfig(t)
-	cfg.Counter, cfg.Settings.Service.CounterEnabled = counter.Addr, true
-	cfg.Settings.Service.CounterTimeout = testsupport.MaxWait // less than half of the request's time, or it would not wait
+	cfg.Counter, cfg.Settings.Accounting.CounterEnabled = counter.Addr, true
+	cfg.Settings.Accounting.CounterTimeout = testsupport.MaxWait // less than half of the request's time, or it would not wait
 	cfg.Settings.Classes[0].Deadline = 3 * testsupport.MaxWait
 	plan := &cfg.Settings.Plans[0]
 	plan.Rate, plan.Burst, plan.OverQuotaCost = 2, 4, 1 // so little that requests are admitted by the shared bucket
--- a/internal/frontend/request_test.go
+++ b/internal/frontend/request_test.go
@@ -15,9 +15,9 @@
 // parserSettings has one class of each idempotency.
 func parserSettings() *config.Settings {
 	return &config.Settings{
-		Gateways: 2,
-		Service:  config.Service{MaxRequestUnits: 6},
-		Plans:    []config.Plan{{Name: "basic"}},
+		Gateways:   2,
+		Accounting: config.Accounting{MaxRequestUnits: 6},
+		Plans:      []config.Plan{{Name: "basic"}},
 		Classes: []config.Class{
 			{Name: "lookup", Idempotency: config.Idempotency(policy.Idempotent), Deadline: time.Second},
 			{Name: "save", Idempotency: config.Idempotency(policy.IdempotentByKey), DedupWindow: time.Minute},
--- a/internal/frontend/terms.go
+++ b/internal/frontend/terms.go
@@ -66,7 +66,7 @@
 // inRange reports whether a figure is one that a request may name.
 func (p *Parser) inRange(name string, value float64) bool {
 	gateways := float64(p.settings.Gateways)
-	maxUnits := p.settings.Service.MaxRequestUnits // 0: any number
+	maxUnits := p.settings.Accounting.MaxRequestUnits // 0: any number
 	switch name {
 	case "units":
 		return value != 0 && (maxUnits <= 0 || value <= maxUnits)
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -19,8 +19,8 @@
 // endpoint, "s-0" at addr.
 func newTestPool(addr string) (*Pool, *Endpoint) {
 	pool := NewPool(&config.Settings{
-		Rules:  config.Rules{DrainGrace: 2 * time.Second},
-		Limits: config.Limits{DialTimeout: 250 * time.Millisecond, IdleClose: 15 * time.Second},
+		EndpointRules: config.EndpointRules{DrainGrace: 2 * time.Second},
+		Limits:        config.Limits{DialTimeout: 250 * time.Millisecond, EndpointIdleTimeout: 15 * time.Second},
 	}, 0)
 	pool.UpdateEndpoint(EndpointUpdate{ID: "s-0", Addr: addr, State: policy.Serving}, time.Now())
 	return pool, pool.Endpoint("s-0")
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -50,8 +50,8 @@
 		endpoints:   map[string]*Endpoint{},
 		maxConns:    maxConns,
 		dialTimeout: settings.Limits.DialTimeout,
-		idleTimeout: settings.Limits.IdleClose / idleTimeoutDivisor,
-		drainGrace:  settings.Rules.DrainGrace,
+		idleTimeout: settings.Limits.EndpointIdleTimeout / idleTimeoutDivisor,
+		drainGrace:  settings.EndpointRules.DrainGrace,
 	}
 	if p.maxConns <= 0 {
 		p.maxConns = defaultMaxConns
