--- a/internal/edge/attempt_test.go
+++ b/internal/edge/attempt_test.go
@@ -36,7 +36,7 @@
 // the endpoint began to drain, and the grace is over, just before the first byte would
 // be written.
 func TestDrainGraceEndsDuringDial(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	started, release := h.holdDials(func() bool { return true })
 	c := h.dial()
@@ -60,7 +60,7 @@
 // is over just before the retry would be written.
 func TestDedupWindowEndsDuringDial(t *testing.T) {
 	fault := testsupport.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-	a, b := testsupport.StartFakeEndpoint(t, fault), testsupport.StartFakeEndpoint(t, fault)
+	a, b := testsupport.StartFakeServer(t, fault), testsupport.StartFakeServer(t, fault)
 	h := startNode(t, testConfig(t), a.Addr, b.Addr)
 	started, release := h.holdDials(func() bool { return len(append(a.Requests(), b.Requests()...)) > 0 })
 	c := h.dial()
@@ -88,10 +88,10 @@
 	var broken atomic.Bool
 	release := make(chan struct{})
 	defer close(release)
-	a := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	a := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		return !broken.Load() && testsupport.RespondOK(c, req, body)
 	})
-	b := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
+	b := testsupport.StartFakeServer(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	h := startNode(t, testConfig(t), a.Addr)
 	c := h.dial()
 	for i := range 40 { // the usual latency is learnt from these
@@ -119,7 +119,7 @@
 func TestThirdConcurrentRequest(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	for i := range 3 {
 		io.WriteString(h.dial(), clientRequest("merge", fmt.Sprintf("%016x", i+1)))
@@ -145,7 +145,7 @@
 // response reach the policy, ones that can't be read or are not plausible do not.
 func TestActualUnitsReachPolicy(t *testing.T) {
 	for text, want := range map[string]float64{"3": 3, "2.5": 2.5, "-1": 0, "NaN": 0, "1e9": 0, "999999": 0, "": 0} {
-		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondWith("HTTP/1.1 200 OK\r\nApi-Charge: "+text+"\r\nContent-Length: 2\r\n\r\nok"))
+		endpoint := testsupport.StartFakeServer(t, testsupport.RespondWith("HTTP/1.1 200 OK\r\nApi-Charge: "+text+"\r\nContent-Length: 2\r\n\r\nok"))
 		cfg := testConfig(t)
 		cfg.Settings.Accounting.MaxRequestUnits = 6
 		h := startNode(t, cfg, endpoint.Addr)
--- a/internal/edge/connreuse_test.go
+++ b/internal/edge/connreuse_test.go
@@ -24,7 +24,7 @@
 // TestStaleConnection guards non-idempotent requests against stale connections: one that
 // the endpoint has closed while idle is not written to, which would end as a reset.
 func TestStaleConnection(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		testsupport.RespondOK(c, req, body)
 		return false // closes the connection without announcing it
 	})
@@ -48,7 +48,7 @@
 // rather than opened for each attempt.
 func TestKeepAlive(t *testing.T) {
 	ports := make(chan string, 8)
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		ports <- c.RemoteAddr().String()
 		return testsupport.RespondOK(c, req, body)
 	})
@@ -134,7 +134,7 @@
 func TestDuplicateResponseWhileIdle(t *testing.T) {
 	send := make(chan struct{})
 	var seen atomic.Int64
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		testsupport.RespondOK(c, req, body)
 		if seen.Add(1) == 1 {
 			<-send
--- a/internal/edge/counter_test.go
+++ b/internal/edge/counter_test.go
@@ -68,7 +68,7 @@
 func TestCounterCalls(t *testing.T) {
 	uris := make(chan string, 8)
 	total := 0
-	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	counter := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		uris <- req.Method + " " + req.RequestURI
 		total++
 		if total == 3 {
@@ -98,7 +98,7 @@
 func TestCounterLateResponse(t *testing.T) {
 	release := make(chan struct{})
 	calls := 0
-	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	counter := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		if calls++; calls == 1 {
 			<-release
 			return testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n111")(c, req, nil)
@@ -124,7 +124,7 @@
 // settings' counter timeout, but not several of them, still counts.
 func TestCounterOverloaded(t *testing.T) {
 	const timeout = 250 * time.Millisecond
-	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	counter := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		time.Sleep(timeout * 3 / 2)
 		return testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7")(c, req, nil)
 	})
@@ -148,7 +148,7 @@
 	if got := replies.next(t); got.Outcome != policy.ConnectFailed {
 		t.Errorf("refused: %+v", got)
 	}
-	counter := testsupport.StartFakeEndpoint(t, func(net.Conn, *http.Request, []byte) bool { return false })
+	counter := testsupport.StartFakeServer(t, func(net.Conn, *http.Request, []byte) bool { return false })
 	n = startCounterNode(t, counter.Addr, testsupport.MaxWait)
 	replies = recordCounter(n)
 	n.testAdd(1, 1)
@@ -201,14 +201,14 @@
 // still delivers the responses that it owes, and is closed after the last of them.
 func TestCounterChangesAddress(t *testing.T) {
 	release, closed := make(chan struct{}), make(chan struct{})
-	old := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	old := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		<-release
 		testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n111")(c, req, nil)
 		io.Copy(io.Discard, c)
 		close(closed)
 		return false
 	})
-	fresh := testsupport.StartFakeEndpoint(t, testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n222"))
+	fresh := testsupport.StartFakeServer(t, testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n222"))
 	n := startCounterNode(t, old.Addr, testsupport.MaxWait)
 	replies := recordCounter(n)
 	n.testAdd(1, 1)
@@ -231,7 +231,7 @@
 func TestCounterInvalidTotal(t *testing.T) {
 	for _, body := range []string{"NaN", "Inf", "0x10", "1e400", "", "7 7"} {
 		calls, release := 0, make(chan struct{})
-		counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+		counter := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 			text := "7"
 			if calls++; calls == 1 {
 				<-release
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -42,7 +42,7 @@
 // up just after its client has disconnected, and nothing is written to it.
 func TestClientDisconnectsDuringTheDial(t *testing.T) {
 	for _, class := range []string{"lookup", "merge"} {
-		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+		endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 		h := startNode(t, testConfig(t), endpoint.Addr)
 		started, release := h.holdDials(func() bool { return true })
 		c := h.dial()
@@ -69,9 +69,9 @@
 // Guards endpoints against work that nobody waits for: the counter's response admits a
 // request that waited for it, and its client has disconnected.
 func TestClientDisconnectsDuringACounterCall(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	calls, answer := make(chan string, 8), make(chan struct{})
-	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	counter := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		calls <- req.URL.Query().Get("delta")
 		<-answer
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2")
@@ -115,7 +115,7 @@
 func startNodeWithoutCancel(t *testing.T, release <-chan struct{}) (h *harness, requests func() []string) {
 	t.Helper()
 	respond := testsupport.RespondAfter(release, testsupport.RespondWith(neverRanResponse))
-	a, b := testsupport.StartFakeEndpoint(t, respond), testsupport.StartFakeEndpoint(t, respond)
+	a, b := testsupport.StartFakeServer(t, respond), testsupport.StartFakeServer(t, respond)
 	cfg := testConfig(t)
 	cfg.Settings.Limits.AllowCancel = false
 	h = startNode(t, cfg, a.Addr, b.Addr)
@@ -231,7 +231,7 @@
 // an idle connection, and before it is written the client is seen to have disconnected.
 func TestClientDisconnectsBeforeAnAttemptIsWritten(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+		endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 		cfg := testConfig(t)
 		cfg.Settings.Limits.AllowCancel = cancel
 		h := startNode(t, cfg, endpoint.Addr)
@@ -275,7 +275,7 @@
 // client has closed its connection, and who reads that has not got round to it when the
 // attempt of a request that has waited would be written, or when the request is received.
 func TestUnreadDisconnect(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	_, conn := h.disconnectedClient()
 	h.node.mu.Lock()
@@ -291,7 +291,7 @@
 
 // Guards endpoints against half a request: the client disconnects while it sends the body.
 func TestClientDisconnectsWithinABody(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	c := h.dial()
 	text := clientRequest("merge", "00000000000000aa")
@@ -307,7 +307,7 @@
 // attempt is canceled by closing its connection.
 func TestClientDisconnects(t *testing.T) {
 	closed := make(chan struct{})
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		c.SetReadDeadline(time.Now().Add(testsupport.MaxWait))
 		if _, err := c.Read(make([]byte, 1)); err == io.EOF {
 			close(closed)
@@ -328,7 +328,7 @@
 func TestClientHalfCloses(t *testing.T) {
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
-	endpoint := testsupport.StartFakeEndpoint(t, func(net.Conn, *http.Request, []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(net.Conn, *http.Request, []byte) bool {
 		<-release
 		return false
 	})
--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -67,7 +67,7 @@
 	}
 	lists := make(chan string)
 	uris := make(chan string, 16)
-	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		uris <- req.RequestURI
 		list, ok := <-lists
 		return ok && list != "" && respondList(c, list)
@@ -128,13 +128,13 @@
 	}
 	before, after := make(chan string, 16), make(chan string, 16)
 	cfg := testConfig(t)
-	cfg.Discovery = testsupport.StartFakeEndpoint(t, list("old", before)).Addr
+	cfg.Discovery = testsupport.StartFakeServer(t, list("old", before)).Addr
 	h := startNode(t, cfg)
 	if first, watch := <-before, <-before; first != "/api/targets" || !strings.Contains(watch, "index=7") {
 		t.Fatalf("calls %q, %q", first, watch)
 	}
 	changedAt := time.Now()
-	h.node.ChangeAddresses(testsupport.StartFakeEndpoint(t, list("new", after)).Addr, "")
+	h.node.ChangeAddresses(testsupport.StartFakeServer(t, list("new", after)).Addr, "")
 	if first, watch := <-after, <-after; first != "/api/targets" || !strings.Contains(watch, "index=7") {
 		t.Errorf("calls at the new address %q, %q", first, watch)
 	}
@@ -151,7 +151,7 @@
 // Guards against forwarding to a process under another one's id: a new endpoint at the
 // address of one still listed takes its place, and gets connections of its own.
 func TestEndpointTakesOverAddress(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	h.dial().roundTrip(clientRequest("merge", "00000000000000aa"))
 	h.node.applyList(discovery.List{Instances: []discovery.Instance{{ID: "s-new", HostPort: endpoint.Addr, Zone: "a", Lifecycle: "SERVING"}}},
@@ -199,7 +199,7 @@
 // leaves each of them time until what it misses counts as notified.
 func TestFleetSpreadsItsCallsToDiscovery(t *testing.T) {
 	uris := make(chan string, 1024)
-	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		uris <- req.RequestURI
 		return respondUnavailable(c)
 	})
@@ -238,7 +238,7 @@
 func TestWatchCallsAtOnce(t *testing.T) {
 	for _, grace := range []time.Duration{0, 150 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second} {
 		calls := make(chan string, 64)
-		service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+		service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 			calls <- req.RequestURI
 			return respondUnavailable(c)
 		})
@@ -277,7 +277,7 @@
 	silent := make(chan struct{})
 	t.Cleanup(func() { close(silent) })
 	var calls atomic.Int32
-	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		ports <- c.RemoteAddr().String()
 		switch calls.Add(1) {
 		case 1: // what is known is up to date
@@ -333,7 +333,7 @@
 	var calls atomic.Int32
 	silent, holds := make(chan struct{}), make(chan int, 64)
 	defer close(silent)
-	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		var ms int
 		fmt.Sscan(req.URL.Query().Get("wait"), &ms)
 		holds <- ms
@@ -379,7 +379,7 @@
 	for _, mode := range []string{"push", "ask"} {
 		var up atomic.Bool
 		calls := make(chan string, 1024)
-		service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+		service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 			if up.Load() {
 				return respondList(c, `{"generation":8,"reset":true,"instances":`+
 					`[{"instanceId":"s-0","hostPort":"127.0.0.1:9","lifecycle":"SERVING"}]}`)
--- a/internal/edge/handler_test.go
+++ b/internal/edge/handler_test.go
@@ -58,7 +58,7 @@
 // Guards against malformed requests: they are answered 400 and nothing of them reaches an
 // endpoint.
 func TestMalformedRequests(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	for name, text := range malformedRequests {
 		t.Run(name, func(t *testing.T) {
@@ -78,7 +78,7 @@
 // a head and a body that never comes whole, and do not end a request that was read
 // whole and whose response takes longer.
 func TestReadTimeout(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		time.Sleep(frontend.ReadTimeout + 100*time.Millisecond) // the work
 		return testsupport.RespondOK(c, req, body)
 	})
@@ -106,7 +106,7 @@
 // rejected unread, and the memory is free again once other requests are done.
 func TestBodyMemoryBudget(t *testing.T) {
 	release := make(chan struct{})
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	cfg := testConfig(t)
 	cfg.Memory = frontend.MaxBodyBytes * 10 // one body of the largest size
 	h := startNode(t, cfg, endpoint.Addr)
@@ -137,7 +137,7 @@
 // Guards bodies of the largest size in both directions.
 func TestLargeBody(t *testing.T) {
 	body := bytes.Repeat([]byte("z"), frontend.MaxBodyBytes)
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, _ *http.Request, got []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, _ *http.Request, got []byte) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(got), got)
 		return true
 	})
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -18,7 +18,7 @@
 func TestClientLimit(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.Sockets = 22 // 6 more than are reserved, half of them for clients
-	h := startNode(t, cfg, testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
+	h := startNode(t, cfg, testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
 	if limit := h.node.clients.Stats().MaxConns; limit != 3 {
 		t.Fatalf("the limit is %d connections, want 3", limit)
 	}
@@ -49,7 +49,7 @@
 // Guards the order of eviction on a whole node: half a request proves nothing of its
 // connection, a served request does.
 func TestServedRequestProvesItsConnection(t *testing.T) {
-	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
+	h := startNode(t, testConfig(t), testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
 	testsupport.Eventually(t, "the end of the connections before", func() bool { return h.node.clients.Stats().Open == 0 })
 	c := h.dial()
 	text := clientRequest("lookup", "00000000000000aa")
--- a/internal/edge/readahead_test.go
+++ b/internal/edge/readahead_test.go
@@ -32,7 +32,7 @@
 // testBytesReadAhead runs the test with so many bytes left of the memory budget.
 func testBytesReadAhead(t *testing.T, memory int64) {
 	release := make(chan struct{})
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		<-release
 		id := req.Header.Get("X-Trace-Id")
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s%s", len(id)+len(body), id, body)
@@ -94,7 +94,7 @@
 // idle, and the request is served.
 func TestShutdownServesBytesReadAhead(t *testing.T) {
 	release := make(chan struct{})
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	h.node.phases.read, h.node.phases.answer = testsupport.MaxWait, testsupport.MaxWait
 	c := h.dial()
--- a/internal/edge/request_test.go
+++ b/internal/edge/request_test.go
@@ -19,7 +19,7 @@
 func TestForwardsRequests(t *testing.T) {
 	var mu sync.Mutex
 	heads := map[string]http.Header{}
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		mu.Lock()
 		heads[req.Header.Get("X-Trace-Id")] = req.Header
 		mu.Unlock()
@@ -63,7 +63,7 @@
 // and does not touch it.
 func TestDuplicateRequestID(t *testing.T) {
 	release := make(chan struct{})
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	first, second := h.dial(), h.dial()
 	io.WriteString(first, clientRequest("merge", "00000000000000aa"))
@@ -83,7 +83,7 @@
 // Guards a rejection by the policy: it is answered at once, with Retry-After, and no
 // attempt is started.
 func TestRejected(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	cfg := testConfig(t)
 	cfg.Settings.Plans[1].HardLimitRate, cfg.Settings.Plans[1].HardLimitBurst = 0.001, 0.001
 	h := startNode(t, cfg, endpoint.Addr)
@@ -100,7 +100,7 @@
 // run, so it is neither retried nor rejected; an idempotent one is retried elsewhere.
 func TestConnectionReset(t *testing.T) {
 	reset := func(c net.Conn, _ *http.Request, _ []byte) bool { return false }
-	a, b := testsupport.StartFakeEndpoint(t, reset), testsupport.StartFakeEndpoint(t, reset)
+	a, b := testsupport.StartFakeServer(t, reset), testsupport.StartFakeServer(t, reset)
 	h := startNode(t, testConfig(t), a.Addr, b.Addr)
 	if resp, _ := h.dial().roundTrip(clientRequest("merge", "00000000000000aa")); resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("not idempotent: status %d", resp.StatusCode)
@@ -123,7 +123,7 @@
 	serve := func(c net.Conn, req *http.Request, body []byte) bool {
 		return received.Add(1) > lostConnections && testsupport.RespondOK(c, req, body)
 	}
-	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, serve).Addr, testsupport.StartFakeEndpoint(t, serve).Addr)
+	h := startNode(t, testConfig(t), testsupport.StartFakeServer(t, serve).Addr, testsupport.StartFakeServer(t, serve).Addr)
 	c := h.dial()
 	for i := 0; i < lostConnections && received.Load() < lostConnections; i++ { // two attempts each at most
 		c.roundTrip(clientRequest("lookup", fmt.Sprintf("%016x", i+1)))
@@ -139,7 +139,7 @@
 // Guards the deadline: an endpoint that does not respond does not keep the client waiting
 // past it.
 func TestUnresponsiveEndpoint(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, func(net.Conn, *http.Request, []byte) bool { return true })
+	endpoint := testsupport.StartFakeServer(t, func(net.Conn, *http.Request, []byte) bool { return true })
 	cfg := testConfig(t)
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].LatencyObjective = 300 * time.Millisecond
--- a/internal/edge/shutdown_test.go
+++ b/internal/edge/shutdown_test.go
@@ -16,7 +16,7 @@
 // Guards the requests that are open when the process is about to be killed: they get a whole
 // final answer, and the node ends by itself with nothing left open.
 func TestPendingRequestsFailBeforeTheKill(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, func(net.Conn, *http.Request, []byte) bool { return true }) // never answers
+	endpoint := testsupport.StartFakeServer(t, func(net.Conn, *http.Request, []byte) bool { return true }) // never answers
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	h.node.phases.answer = 50 * time.Millisecond // long before the request's own time is up
 	h.node.phases.write = testsupport.MaxWait
@@ -55,7 +55,7 @@
 // Guards a request that comes in two parts with the end of the listener between them:
 // it is read to its end and served.
 func TestShutdownReadsPartialRequests(t *testing.T) {
-	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
+	h := startNode(t, testConfig(t), testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
 	h.node.phases.read, h.node.phases.answer = testsupport.MaxWait, testsupport.MaxWait
 	text := clientRequest("merge", "00000000000000aa")
 	silent, half, body := h.dial(), h.dial(), h.dial() // nothing, half a head and half a body before the stop
@@ -83,7 +83,7 @@
 // Guards a request of which the first byte has been read on a kept connection when the
 // shutdown begins: the connection is not idle any more, and the request is served.
 func TestShutdownServesRequestBegun(t *testing.T) {
-	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
+	h := startNode(t, testConfig(t), testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
 	h.node.phases.read, h.node.phases.answer = testsupport.MaxWait, testsupport.MaxWait
 	c := h.dial()
 	c.roundTrip(clientRequest("lookup", "00000000000000aa"))
@@ -102,7 +102,7 @@
 // Guards against half a request when this side closes a connection that carries one: what was
 // read before the close is dropped. That nothing more is read is tested in internal/frontend.
 func TestEvictionDropsRequest(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	tracker := frontend.NewTracker(1, frontend.NewMemoryBudget(0))
 	listener := frontend.NewListener(testsupport.Listen(t), tracker)
@@ -131,7 +131,7 @@
 // ends with no error.
 func TestGracefulShutdown(t *testing.T) {
 	release := make(chan struct{})
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		if req.Header.Get("X-Trace-Id") == "00000000000000aa" {
 			<-release
 		}
@@ -162,7 +162,7 @@
 // Guards the end of a graceful shutdown against connections on which nothing was ever sent:
 // they do not delay it by the five seconds that the library waits.
 func TestShutdownWithSilentConnection(t *testing.T) {
-	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
+	h := startNode(t, testConfig(t), testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
 	c := h.dial()
 	testsupport.Eventually(t, "the silent connection", func() bool { return h.node.clients.Stats().Open > 0 })
 	h.stop()
--- a/internal/testsupport/endpoint.go
+++ b/internal/testsupport/server.go
@@ -40,10 +40,10 @@
 	}
 }
 
-// FakeEndpoint is an HTTP server on the loopback interface whose responses, byte for byte, are
+// FakeServer is an HTTP server on the loopback interface whose responses, byte for byte, are
 // those of a [Responder]. It takes the place of an endpoint, of the counter or of discovery, and
 // records the requests that it read. Its methods may be called from any goroutine.
-type FakeEndpoint struct {
+type FakeServer struct {
 	// Addr is its host and port.
 	Addr string
 
@@ -52,11 +52,11 @@
 	requests []string
 }
 
-// StartFakeEndpoint starts a server that ends with the test.
-func StartFakeEndpoint(t *testing.T, respond Responder) *FakeEndpoint {
+// StartFakeServer starts a server that ends with the test.
+func StartFakeServer(t *testing.T, respond Responder) *FakeServer {
 	t.Helper()
 	listener := Listen(t)
-	endpoint := &FakeEndpoint{Addr: listener.Addr().String(), respond: respond}
+	server := &FakeServer{Addr: listener.Addr().String(), respond: respond}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -64,22 +64,22 @@
 				return
 			}
 			t.Cleanup(func() { conn.Close() })
-			go endpoint.serveConn(conn)
+			go server.serveConn(conn)
 		}
 	}()
-	return endpoint
+	return server
 }
 
 // Requests returns method, target and X-Trace-Id, with a space between them, of each request
 // that was read to its end, in the order in which they were read.
-func (e *FakeEndpoint) Requests() []string {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return slices.Clone(e.requests)
+func (s *FakeServer) Requests() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.requests)
 }
 
 // serveConn answers the requests on one connection.
-func (e *FakeEndpoint) serveConn(conn net.Conn) {
+func (s *FakeServer) serveConn(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -91,15 +91,15 @@
 		if err != nil {
 			return
 		}
-		e.record(req)
-		if !e.respond(conn, req, body) {
+		s.record(req)
+		if !s.respond(conn, req, body) {
 			return
 		}
 	}
 }
 
-func (e *FakeEndpoint) record(req *http.Request) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.requests = append(e.requests, req.Method+" "+req.RequestURI+" "+req.Header.Get("X-Trace-Id"))
+func (s *FakeServer) record(req *http.Request) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.requests = append(s.requests, req.Method+" "+req.RequestURI+" "+req.Header.Get("X-Trace-Id"))
 }
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -44,7 +44,7 @@
 		{"head too long", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*(maxBodyBytes+maxResponseHeadBytes)), policy.ConnectionLost, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			addr := testsupport.StartFakeEndpoint(t, func(conn net.Conn, _ *http.Request, _ []byte) bool {
+			addr := testsupport.StartFakeServer(t, func(conn net.Conn, _ *http.Request, _ []byte) bool {
 				io.WriteString(conn, test.response)
 				return false
 			}).Addr
@@ -84,7 +84,7 @@
 // server sends a duplicate response to the first request just when the next one reaches
 // that connection, so that it would be the first thing read.
 func TestDuplicateResponseCrossesNextRequest(t *testing.T) {
-	addr := testsupport.StartFakeEndpoint(t, func(conn net.Conn, req *http.Request, body []byte) bool {
+	addr := testsupport.StartFakeServer(t, func(conn net.Conn, req *http.Request, body []byte) bool {
 		if req.URL.Path == "/second" {
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother")
 		}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -11,7 +11,7 @@
 // TestPoolLimit checks the limit on descriptors: at the limit an idle connection frees
 // its slot, and with none idle there is no slot.
 func TestPoolLimit(t *testing.T) {
-	pool, endpoint := newTestPool(testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
+	pool, endpoint := newTestPool(testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
 	addIdleConn(t, pool, endpoint)
 	pool.maxConns = pool.open
 	if !pool.Reserve() || len(endpoint.idle) != 0 {
@@ -50,7 +50,7 @@
 // that no longer exists: when discovery reports a restart or a new address, idle
 // connections are closed.
 func TestRestartEvictsIdle(t *testing.T) {
-	addr := testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr
+	addr := testsupport.StartFakeServer(t, testsupport.RespondOK).Addr
 	pool, endpoint := newTestPool(addr)
 	original := EndpointUpdate{ID: "s-0", Addr: addr, State: policy.Serving}
 	for name, update := range map[string]EndpointUpdate{
