--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -22,9 +22,9 @@
 	Lock   sync.Locker // guards the address of a client
 	Timing Timing
 	Seed   uint64 // of the jitter; nodes of one fleet have different ones
-	// Known is the list as it was known before the start; the client asks for what changed
+	// CachedList is the list as it was known before the start; the client asks for what changed
 	// after it. If it has no instances, the client asks for the full list.
-	Known List
+	CachedList List
 	// OnList takes each list that brings news, and whether it is full. It is called from the
 	// goroutine of Run, without Lock.
 	OnList func(List, policy.UpdateScope)
@@ -73,7 +73,7 @@
 func (c *Client) Run(ctx context.Context) {
 	client := &http.Client{Transport: c.Options.Transport}
 	defer client.CloseIdleConnections()
-	schedule := newSchedule(c.Options.Timing, c.Options.Seed, c.Options.Known)
+	schedule := newSchedule(c.Options.Timing, c.Options.Seed, c.Options.CachedList)
 	for ctx.Err() == nil {
 		callCtx, address := c.target(ctx)
 		next, delay := schedule.next(address)
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards the error of a call that the service rejects: it names the address and the status.
-func TestFetchReportsStatus(t *testing.T) {
+func TestFetchErrorNamesAddressAndStatus(t *testing.T) {
 	service := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(service.Close)
 	address := strings.TrimPrefix(service.URL, "http://")
@@ -22,7 +22,7 @@
 }
 
 // Guards the form of a call: the full list, or what changed after a version.
-func TestCallURL(t *testing.T) {
+func TestCallURLAsksForFullListOrChanges(t *testing.T) {
 	tests := []struct {
 		call call
 		want string
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -15,12 +15,12 @@
 	// NotificationDeadline for the fleet. Half as many calls a second could not notify all
 	// in time, however they were spread.
 	callCost = 13 * time.Millisecond
-	// queueLimit is how long a call waits in the service's queue before it is rejected, where
+	// shortQueueLimit is how long a call waits in the service's queue before it is rejected, where
 	// it is: one that works on calls whose callers have given up never gets to the others.
-	queueLimit     = 2 * time.Second
-	longQueueLimit = time.Hour
-	// renewalLimit is how soon after a response the next call must come to renew a watch.
-	renewalLimit = 200 * time.Millisecond
+	shortQueueLimit = 2 * time.Second
+	longQueueLimit  = time.Hour
+	// maxRenewalGap is how soon after a response the next call must come to renew a watch.
+	maxRenewalGap = 200 * time.Millisecond
 )
 
 // serviceState is what becomes of the calls.
@@ -28,56 +28,56 @@
 
 const (
 	serviceUp serviceState = iota
-	serviceRefuses
-	serviceSilent
-	serviceOverloaded // rejects all calls
+	serviceRefusing
+	serviceUnresponsive
+	serviceRejecting // rejects all calls
 )
 
 // fakeService models discovery: one service that works in turn on the calls of all nodes, on
 // those whose callers have given up as well, or an agent that answers each node at once.
 type fakeService struct {
 	*testclock.Clock
-	address      string
-	callCost     time.Duration // 0: calls cost nothing
-	queueLimit   time.Duration // a call that would wait longer is rejected after that
-	state        serviceState
-	idleAt       time.Duration // when all that is in its queue is done
-	longestQueue time.Duration // that a call has waited
-	generation   int64
-	watches      []*fakeCall // held, in the order in which they came
+	address           string
+	callCost          time.Duration // 0: calls cost nothing
+	queueLimit        time.Duration // a call that would wait longer is rejected after that
+	state             serviceState
+	queueEmptyAt      time.Duration // when all that is in its queue is done
+	longestQueueDelay time.Duration // that a call has waited
+	generation        int64
+	held              []*fakeCall // held, in the order in which they came
 }
 
 // fakeCall is one call of a node.
 type fakeCall struct {
 	call
 	caller *fakeNode
-	token  int
+	waitID int
 }
 
-// change makes a new version of the list and returns it.
-func (s *fakeService) change() int64 {
+// publish makes a new version of the list and returns it.
+func (s *fakeService) publish() int64 {
 	s.generation++
-	watches := s.watches
-	s.watches = nil
-	for _, watch := range watches {
-		s.answer(watch)
+	held := s.held
+	s.held = nil
+	for _, watch := range held {
+		s.respond(watch)
 	}
 	return s.generation
 }
 
-// become changes what becomes of calls. Watches that are held hang.
-func (s *fakeService) become(state serviceState) {
+// setState changes what becomes of calls. Watches that are held hang.
+func (s *fakeService) setState(state serviceState) {
 	s.state = state
-	s.watches = nil
+	s.held = nil
 }
 
-// queueing is how long a call that came now would wait.
-func (s *fakeService) queueing() time.Duration { return max(s.idleAt-s.Now, 0) }
+// queueDelay is how long a call that came now would wait.
+func (s *fakeService) queueDelay() time.Duration { return max(s.queueEmptyAt-s.Now, 0) }
 
 // receive takes a call, which may renew a watch.
 func (s *fakeService) receive(c *fakeCall, renewal bool) {
 	switch {
-	case s.state == serviceSilent:
+	case s.state == serviceUnresponsive:
 		return
 	case s.state != serviceUp:
 		s.After(0, func() { c.caller.fail(c) })
@@ -85,13 +85,13 @@
 	case renewal:
 		s.hold(c)
 		return
-	case s.queueing() > s.queueLimit:
+	case s.queueDelay() > s.queueLimit:
 		s.After(s.queueLimit, func() { c.caller.fail(c) })
 		return
 	}
-	s.idleAt = max(s.idleAt, s.Now) + s.callCost
-	s.longestQueue = max(s.longestQueue, s.queueing())
-	s.After(s.queueing(), func() {
+	s.queueEmptyAt = max(s.queueEmptyAt, s.Now) + s.callCost
+	s.longestQueueDelay = max(s.longestQueueDelay, s.queueDelay())
+	s.After(s.queueDelay(), func() {
 		if s.state == serviceUp {
 			s.hold(c)
 		}
@@ -101,22 +101,22 @@
 // hold answers a call that there is news for, or when its long-poll wait is over.
 func (s *fakeService) hold(c *fakeCall) {
 	if c.fullList || s.generation > c.index || c.longPollWait <= time.Millisecond {
-		s.answer(c)
+		s.respond(c)
 		return
 	}
-	s.watches = append(s.watches, c)
+	s.held = append(s.held, c)
 	s.After(c.longPollWait, func() {
-		for i, watch := range s.watches {
+		for i, watch := range s.held {
 			if watch == c {
-				s.watches = append(s.watches[:i:i], s.watches[i+1:]...)
-				s.answer(c)
+				s.held = append(s.held[:i:i], s.held[i+1:]...)
+				s.respond(c)
 				return
 			}
 		}
 	})
 }
 
-func (s *fakeService) answer(c *fakeCall) { c.caller.receive(c, s.address, s.generation) }
+func (s *fakeService) respond(c *fakeCall) { c.caller.receive(c, s.address, s.generation) }
 
 // version is a version of the list at one address of discovery.
 type version struct {
@@ -130,33 +130,33 @@
 	schedule     *schedule
 	services     map[string]*fakeService
 	address      string
-	token        int // of what it waits for: a call or a pause
+	waitID       int // of what it waits for: a call or a pause
 	calledAt     time.Duration
 	lastResponse time.Duration
-	ready        bool
+	hasList      bool
 	notifiedAt   map[version]time.Duration // when it was notified of a version
 }
 
 // step makes the next call or waits for it.
 func (n *fakeNode) step() {
-	n.token++
-	token := n.token
+	n.waitID++
+	id := n.waitID
 	next, delay := n.schedule.next(n.address)
 	if delay > 0 {
 		n.pause(delay)
 		return
 	}
 	n.calledAt = n.Now
-	c := &fakeCall{call: next, caller: n, token: token}
+	c := &fakeCall{call: next, caller: n, waitID: id}
 	n.After(next.timeout, func() { n.fail(c) })
-	n.services[n.address].receive(c, n.Now-n.lastResponse <= renewalLimit)
+	n.services[n.address].receive(c, n.Now-n.lastResponse <= maxRenewalGap)
 }
 
 func (n *fakeNode) pause(d time.Duration) {
-	n.token++
-	token := n.token
+	n.waitID++
+	id := n.waitID
 	n.After(d, func() {
-		if token == n.token {
+		if id == n.waitID {
 			n.step()
 		}
 	})
@@ -164,19 +164,19 @@
 
 // fail ends a call without a response.
 func (n *fakeNode) fail(c *fakeCall) {
-	if c.token == n.token {
-		n.lastResponse = -renewalLimit - 1 // another connection, another watch
+	if c.waitID == n.waitID {
+		n.lastResponse = -maxRenewalGap - 1 // another connection, another watch
 		n.pause(n.schedule.failed(n.Now - n.calledAt))
 	}
 }
 
 // receive takes the response to a call.
 func (n *fakeNode) receive(c *fakeCall, address string, generation int64) {
-	if c.token != n.token {
+	if c.waitID != n.waitID {
 		return // the node has given up
 	}
 	n.lastResponse = n.Now
-	n.ready = true
+	n.hasList = true
 	for g := c.index + 1; g <= generation; g++ {
 		n.notifiedAt[version{address, g}] = n.Now
 	}
@@ -197,20 +197,20 @@
 // fleet is a fleet of nodes with its discovery, and another one to which it may move.
 type fleet struct {
 	testclock.Clock
-	before, after *fakeService
-	nodes         []*fakeNode
+	oldService, newService *fakeService
+	nodes                  []*fakeNode
 }
 
 // newFleet starts nodes that know of version 1 of the list, or of nothing.
 func newFleet(mode string, queueLimit time.Duration, known bool, state serviceState) *fleet {
 	f := &fleet{}
-	f.before = &fakeService{Clock: &f.Clock, address: "before", queueLimit: queueLimit, generation: 1, state: state}
-	f.after = &fakeService{Clock: &f.Clock, address: "after", queueLimit: queueLimit, generation: 1}
+	f.oldService = &fakeService{Clock: &f.Clock, address: "old", queueLimit: queueLimit, generation: 1, state: state}
+	f.newService = &fakeService{Clock: &f.Clock, address: "new", queueLimit: queueLimit, generation: 1}
 	if mode == "ask" {
-		f.before.callCost = callCost
-		f.after.callCost = callCost
+		f.oldService.callCost = callCost
+		f.newService.callCost = callCost
 	}
-	services := map[string]*fakeService{"before": f.before, "after": f.after}
+	services := map[string]*fakeService{"old": f.oldService, "new": f.newService}
 	settings := &config.Settings{
 		Gateways:      fleetSize,
 		DiscoveryMode: mode,
@@ -225,8 +225,8 @@
 			Clock:        &f.Clock,
 			schedule:     newSchedule(NewTiming(settings), seed, list),
 			services:     services,
-			address:      "before",
-			lastResponse: -renewalLimit - 1,
+			address:      "old",
+			lastResponse: -maxRenewalGap - 1,
 			notifiedAt:   map[version]time.Duration{},
 		}
 		f.nodes = append(f.nodes, node)
@@ -235,9 +235,9 @@
 	return f
 }
 
-// late is how many nodes were notified of a version later than NotificationDeadline past
+// lateNodes is how many nodes were notified of a version later than NotificationDeadline past
 // since, or not at all, and how long the last one took.
-func (f *fleet) late(v version, since time.Duration) (late int, longest time.Duration) {
+func (f *fleet) lateNodes(v version, since time.Duration) (late int, longest time.Duration) {
 	for _, node := range f.nodes {
 		at, ok := node.notifiedAt[v]
 		if !ok {
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -7,9 +7,9 @@
 	"swiftpitch/internal/backoff"
 )
 
-// shortPollWait is the long-poll wait of a call after a failed one, which is in effect not
+// immediatePollWait is the long-poll wait of a call after a failed one, which is in effect not
 // held: a hung call would cost the wait as well.
-const shortPollWait = time.Millisecond
+const immediatePollWait = time.Millisecond
 
 // randomStream keeps the random numbers of the schedule apart from others of the same seed.
 const randomStream = 0x646973636f
@@ -17,25 +17,25 @@
 // schedule decides when a node calls discovery, for what, and with which timeout. It knows
 // neither sockets nor a clock, and is not safe for concurrent use.
 type schedule struct {
-	timing    Timing
-	rand      *rand.Rand
-	backoff   backoff.Backoff // of a watch
-	address   string          // of the last call
-	index     int64           // version of the list
-	known     bool            // there is a list
-	connected bool            // the last call succeeded
+	timing     Timing
+	rand       *rand.Rand
+	backoff    backoff.Backoff // of a watch
+	address    string          // of the last call
+	generation int64           // version of the list
+	hasList    bool            // there is a list
+	connected  bool            // the last call succeeded
 }
 
 // newSchedule begins with the list as it was known. Its version is known too: a watch from
 // there brings what was missed.
-func newSchedule(timing Timing, seed uint64, known List) *schedule {
+func newSchedule(timing Timing, seed uint64, cached List) *schedule {
 	random := rand.New(rand.NewPCG(seed, randomStream))
 	return &schedule{
-		timing:  timing,
-		rand:    random,
-		backoff: backoff.Backoff{Min: timing.MinBackoff, Max: timing.MaxBackoff, Rand: random},
-		index:   known.Generation,
-		known:   len(known.Instances) > 0,
+		timing:     timing,
+		rand:       random,
+		backoff:    backoff.Backoff{Min: timing.MinBackoff, Max: timing.MaxBackoff, Rand: random},
+		generation: cached.Generation,
+		hasList:    len(cached.Instances) > 0,
 	}
 }
 
@@ -49,14 +49,14 @@
 		}
 	}
 	next = call{
-		fullList:     !s.known,
-		index:        s.index,
-		longPollWait: shortPollWait,
+		fullList:     !s.hasList,
+		index:        s.generation,
+		longPollWait: immediatePollWait,
 		timeout:      s.timing.CallTimeout,
 	}
 	if s.connected {
 		next.longPollWait = s.longPollWait()
-		next.timeout = next.longPollWait + s.timing.SilenceMargin
+		next.timeout = next.longPollWait + s.timing.ResponseMargin
 	}
 	return next, 0
 }
@@ -64,7 +64,7 @@
 // changeAddress notes that the calls go to another address than before.
 func (s *schedule) changeAddress(address string) {
 	if s.address != "" { // another service, whose versions are its own
-		s.known = false
+		s.hasList = false
 	}
 	s.address = address
 	s.connected = false
@@ -82,8 +82,8 @@
 
 // succeeded takes the version of the list that a call brought.
 func (s *schedule) succeeded(generation int64) {
-	s.index = generation
-	s.known = true
+	s.generation = generation
+	s.hasList = true
 	s.connected = true
 	s.backoff.Reset()
 }
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -8,13 +8,13 @@
 
 // The tests of this file run the schedules of a whole fleet in simulated time.
 
-// fleetVariants are the ways in which discovery works.
-var fleetVariants = []struct {
+// discoveryVariants are the ways in which discovery works.
+var discoveryVariants = []struct {
 	name, mode string
 	queueLimit time.Duration
 }{
-	{"push", "push", queueLimit},
-	{"ask", "ask", queueLimit},
+	{"push", "push", shortQueueLimit},
+	{"ask", "ask", shortQueueLimit},
 	{"ask, long queue", "ask", longQueueLimit},
 }
 
@@ -24,22 +24,22 @@
 	name  string
 	event func(*fleet) version
 }{
-	{"steady", (*fleet).change},
+	{"steady", (*fleet).publishChange},
 	{"silence", outage(serviceUp, 0)},
 	{"silence in step", func(f *fleet) version {
-		f.before.change() // all watches begin anew
+		f.oldService.publish() // all watches begin anew
 		f.Run(100 * time.Millisecond)
-		f.before.become(serviceUp)
-		return f.change()
+		f.oldService.setState(serviceUp)
+		return f.publishChange()
 	}},
-	{"refusal", outage(serviceRefuses, longOutage)},
-	{"short refusal", outage(serviceRefuses, time.Second)},
-	{"hung calls", outage(serviceSilent, longOutage)},
-	{"hung calls, short", outage(serviceSilent, 7*time.Second)},
-	{"rejected calls", outage(serviceOverloaded, longOutage)},
+	{"refusal", outage(serviceRefusing, longOutage)},
+	{"short refusal", outage(serviceRefusing, time.Second)},
+	{"hung calls", outage(serviceUnresponsive, longOutage)},
+	{"hung calls, short", outage(serviceUnresponsive, 7*time.Second)},
+	{"rejected calls", outage(serviceRejecting, longOutage)},
 	{"address change", (*fleet).changeAddress},
 	{"address change while hung", func(f *fleet) version {
-		f.before.become(serviceSilent)
+		f.oldService.setState(serviceUnresponsive)
 		f.Run(longOutage)
 		return f.changeAddress()
 	}},
@@ -50,49 +50,49 @@
 // outage makes a change right after discovery was in a state for a while.
 func outage(state serviceState, duration time.Duration) func(*fleet) version {
 	return func(f *fleet) version {
-		f.before.become(state)
+		f.oldService.setState(state)
 		f.Run(duration)
-		f.before.become(serviceUp)
-		return f.change()
+		f.oldService.setState(serviceUp)
+		return f.publishChange()
 	}
 }
 
-func (f *fleet) change() version { return version{"before", f.before.change()} }
+func (f *fleet) publishChange() version { return version{"old", f.oldService.publish()} }
 
 func (f *fleet) changeAddress() version {
 	for _, node := range f.nodes {
-		node.changeAddress("after")
+		node.changeAddress("new")
 	}
-	return version{"after", 1}
+	return version{"new", 1}
 }
 
 // Guards the drains and starts of which a large fleet learns: whatever became of the calls
 // before, each node is notified of a change within NotificationDeadline of the moment in
 // which discovery had it and could be reached, and 300 nodes that failed together leave no
 // queue standing at a service of fixed capacity.
-func TestFleetIsNotifiedInTime(t *testing.T) {
-	for _, variant := range fleetVariants {
+func TestFleetIsNotifiedWithinDeadline(t *testing.T) {
+	for _, variant := range discoveryVariants {
 		for _, e := range fleetEvents {
 			t.Run(variant.name+"/"+e.name, func(t *testing.T) {
 				f := newFleet(variant.mode, variant.queueLimit, true, serviceUp)
-				f.before.change() // which the nodes do not know of
+				f.oldService.publish() // which the nodes do not know of
 				f.Run(2 * NotificationDeadline)
-				late, longest := f.late(version{"before", 2}, 0)
+				late, longest := f.lateNodes(version{"old", 2}, 0)
 				if late > 0 {
 					t.Errorf("start: %d nodes are notified late, the last after %v", late, longest)
 				}
 				changed := e.event(f)
 				since := f.Now
 				f.Run(2 * NotificationDeadline)
-				late, longest = f.late(changed, since)
+				late, longest = f.lateNodes(changed, since)
 				if late > 0 {
 					t.Errorf("%d nodes are notified late, the last after %v", late, longest)
 				}
-				if queueing := max(f.before.queueing(), f.after.queueing()); queueing > 0 {
-					t.Errorf("a queue of %v stands %v later", queueing, 2*NotificationDeadline)
+				if delay := max(f.oldService.queueDelay(), f.newService.queueDelay()); delay > 0 {
+					t.Errorf("a queue of %v stands %v later", delay, 2*NotificationDeadline)
 				}
 				t.Logf("the last node is notified after %v, the longest queue was %v", longest,
-					max(f.before.longestQueue, f.after.longestQueue))
+					max(f.oldService.longestQueueDelay, f.newService.longestQueueDelay))
 			})
 		}
 	}
@@ -102,8 +102,8 @@
 // with nothing known or an old list, with discovery that is polled and crowded by the
 // others, or that is down at the start: then a node that knows of no endpoint is ready
 // within NotificationDeadline of its return.
-func TestRestartedFleetIsReady(t *testing.T) {
-	for _, variant := range fleetVariants {
+func TestRestartedFleetBecomesReady(t *testing.T) {
+	for _, variant := range discoveryVariants {
 		for _, known := range []bool{false, true} {
 			for _, down := range []time.Duration{0, 3 * time.Second, 20 * time.Second} {
 				t.Run(fmt.Sprintf("%s/known %v/down %v", variant.name, known, down), func(t *testing.T) {
@@ -123,19 +123,19 @@
 	)
 	state := serviceUp
 	if down > 0 {
-		state = serviceSilent
+		state = serviceUnresponsive
 	}
 	f := newFleet(mode, queueLimit, known, state)
 	f.Run(down)
-	f.before.become(serviceUp)
+	f.oldService.setState(serviceUp)
 	f.Run(max(readyWithin-down, NotificationDeadline))
 	answered := 0
 	ready := 0
 	for _, node := range f.nodes {
-		if node.ready {
+		if node.hasList {
 			answered++
 		}
-		if node.ready || known { // a node that knows of endpoints is ready at once
+		if node.hasList || known { // a node that knows of endpoints is ready at once
 			ready++
 		}
 	}
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -18,9 +18,9 @@
 const (
 	// WatchLongPollWait is how long the agent may hold a watch.
 	WatchLongPollWait = 4 * time.Second
-	// watchResponseTimeout is how long past the long-poll wait, or after a call that is not
+	// watchResponseMargin is how long past the long-poll wait, or after a call that is not
 	// held, the agent counts as silent.
-	watchResponseTimeout = time.Second
+	watchResponseMargin = time.Second
 
 	// The bound of the first backoff is the drain grace over minBackoffDivisor, but at most
 	// minBackoffCeiling, and at least minBackoffFloor so that an agent that is down is not
@@ -66,16 +66,16 @@
 	pollLongPollWait = 2 * time.Second
 	// MinLongPollWaitFraction is the shortest, as a fraction of the longest.
 	MinLongPollWaitFraction = 0.2
-	// pollSilenceMargin is how long past its long-poll wait a call counts as silent.
-	pollSilenceMargin = 500 * time.Millisecond
+	// pollResponseMargin is how long past its long-poll wait a call counts as silent.
+	pollResponseMargin = 500 * time.Millisecond
 )
 
 // Timing holds the durations of the calls to discovery.
 type Timing struct {
-	Polled        bool          // discovery is one service for the fleet, else an agent on this machine
-	LongPollWait  time.Duration // the longest that discovery may hold a call
-	SilenceMargin time.Duration // past the long-poll wait, after which a held call has failed
-	CallTimeout   time.Duration // after which a call that is not held has failed
+	Polled         bool          // discovery is one service for the fleet, else an agent on this machine
+	LongPollWait   time.Duration // the longest that discovery may hold a call
+	ResponseMargin time.Duration // past the long-poll wait, after which a held call has failed
+	CallTimeout    time.Duration // after which a call that is not held has failed
 
 	// Polled only.
 
@@ -99,22 +99,22 @@
 func newPollTiming(gateways int) Timing {
 	window := min(time.Duration(gateways)*jitterWindowPerNode, MaxJitterWindow)
 	return Timing{
-		Polled:        true,
-		LongPollWait:  pollLongPollWait,
-		SilenceMargin: pollSilenceMargin,
-		CallTimeout:   pollTimeout,
-		JitterWindow:  window,
-		PollInterval:  min(pollIntervalFactor*window, MaxPollInterval),
+		Polled:         true,
+		LongPollWait:   pollLongPollWait,
+		ResponseMargin: pollResponseMargin,
+		CallTimeout:    pollTimeout,
+		JitterWindow:   window,
+		PollInterval:   min(pollIntervalFactor*window, MaxPollInterval),
 	}
 }
 
 func newWatchTiming(drainGrace time.Duration) Timing {
 	minBackoff := max(min(minBackoffCeiling, drainGrace/minBackoffDivisor), minBackoffFloor)
 	return Timing{
-		LongPollWait:  WatchLongPollWait,
-		SilenceMargin: watchResponseTimeout,
-		CallTimeout:   watchResponseTimeout,
-		MinBackoff:    minBackoff,
-		MaxBackoff:    max(min(maxBackoffFactor*minBackoff, drainGrace/maxBackoffDivisor), minBackoff),
+		LongPollWait:   WatchLongPollWait,
+		ResponseMargin: watchResponseMargin,
+		CallTimeout:    watchResponseMargin,
+		MinBackoff:     minBackoff,
+		MaxBackoff:     max(min(maxBackoffFactor*minBackoff, drainGrace/maxBackoffDivisor), minBackoff),
 	}
 }
--- a/internal/edge/discovery.go
+++ b/internal/edge/discovery.go
@@ -8,12 +8,12 @@
 // guards its address.
 func (n *Node) newDiscoveryClient(address string) *discovery.Client {
 	return discovery.New(address, discovery.Options{
-		Lock:   &n.mu,
-		Timing: discovery.NewTiming(n.cfg.Settings),
-		Seed:   n.cfg.Seed,
-		Known:  n.cfg.Known,
-		OnList: n.applyList,
-		Log:    n.log,
+		Lock:       &n.mu,
+		Timing:     discovery.NewTiming(n.cfg.Settings),
+		Seed:       n.cfg.Seed,
+		CachedList: n.cfg.Known,
+		OnList:     n.applyList,
+		Log:        n.log,
 	})
 }
 
--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -269,7 +269,7 @@
 // with what it missed, long before that counts as notified.
 func TestSilentWatchIsRenewed(t *testing.T) {
 	timing := discovery.NewTiming(testConfig(t).Settings)
-	renewal := timing.LongPollWait + timing.SilenceMargin + timing.MinBackoff
+	renewal := timing.LongPollWait + timing.ResponseMargin + timing.MinBackoff
 	if deadline := 6 * time.Second; renewal >= deadline {
 		t.Errorf("a silent watch is renewed after %v, what it misses counts as notified after %v", renewal, deadline)
 	}
@@ -295,7 +295,7 @@
 	cfg.Known.Instances = knownInstances()
 	n := newIdleNode(t, cfg)
 	n.discovery.Options.Timing.LongPollWait = 10 * time.Millisecond
-	n.discovery.Options.Timing.SilenceMargin = 10 * time.Millisecond
+	n.discovery.Options.Timing.ResponseMargin = 10 * time.Millisecond
 	n.start()
 	defer n.close()
 	if _, first, second := <-ports, <-ports, <-ports; first == second {
@@ -346,7 +346,7 @@
 	})
 	n := newIdleNode(t, newPollingConfig(t, service.Addr, seed, 300))
 	n.discovery.Options.Timing.LongPollWait = hold
-	n.discovery.Options.Timing.SilenceMargin = hold
+	n.discovery.Options.Timing.ResponseMargin = hold
 	pauses := 0
 	n.discovery.Options.Pause = func(_ context.Context, wait time.Duration) {
 		pauses++
