--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -38,7 +38,7 @@
 }
 
 // Guards what is read from a configuration file.
-func TestLoad(t *testing.T) {
+func TestLoadReadsEveryKey(t *testing.T) {
 	clearEnvironment(t)
 	file, err := config.Load(writeFile(t, validFile))
 	if err != nil {
@@ -114,7 +114,7 @@
 }
 
 // Guards the errors that belong to no key of the file.
-func TestLoadErrorsOfTheFile(t *testing.T) {
+func TestLoadReportsUnreadableFile(t *testing.T) {
 	clearEnvironment(t)
 	_, err := config.Load("")
 	var keyError *config.KeyError
@@ -133,7 +133,7 @@
 }
 
 // Guards that names outside the lists are rejected with their key and value.
-func TestDecodeNamesUnknownValues(t *testing.T) {
+func TestDecodeErrorsNameUnknownValues(t *testing.T) {
 	for key, want := range map[string]string{
 		"effect": `malformed: effect: unknown value "maybe"`,
 		"group":  `malformed: group: unknown value "maybe"`,
--- a/internal/counterclient/client.go
+++ b/internal/counterclient/client.go
@@ -93,7 +93,7 @@
 	if c.active == nil {
 		return len(c.queue)
 	}
-	return len(c.queue) + len(c.active.awaiting)
+	return len(c.queue) + len(c.active.inFlight)
 }
 
 // wake makes sure that a connection is open, or being dialed, for the queue.
--- a/internal/counterclient/connection.go
+++ b/internal/counterclient/connection.go
@@ -27,22 +27,22 @@
 // another reads. The owner's lock guards all fields; conn is set once, before the goroutine
 // that reads starts, and is nil while the connection is dialed.
 type connection struct {
-	client   *Client
-	cancel   context.CancelFunc // of the dial
-	conn     net.Conn
-	awaiting []*pendingCall // written and not answered, oldest first
-	wakeup   chan struct{}  // tells the writer that there is something to do
-	draining bool           // it leads to a previous address: it takes no new calls
-	closed   bool
+	client     *Client
+	cancelDial context.CancelFunc // of the dial
+	conn       net.Conn
+	inFlight   []*pendingCall // written and not answered, oldest first
+	wakeup     chan struct{}  // tells the writer that there is something to do
+	draining   bool           // it leads to a previous address: it takes no new calls
+	closed     bool
 }
 
 // connect begins to dial the client's address. The lock is held.
 func (c *Client) connect() *connection {
 	ctx, cancel := context.WithTimeout(c.options.Context, c.options.DialTimeout)
-	opened := &connection{client: c, cancel: cancel, wakeup: make(chan struct{}, 1)}
+	created := &connection{client: c, cancelDial: cancel, wakeup: make(chan struct{}, 1)}
 	address := c.address
-	c.options.Go(func() { opened.run(ctx, address) })
-	return opened
+	c.options.Go(func() { created.run(ctx, address) })
+	return created
 }
 
 // wake makes the writer look at the queue.
@@ -55,14 +55,14 @@
 
 // unresponsive reports whether a response has been due for too long. The lock is held.
 func (c *connection) unresponsive() bool {
-	return len(c.awaiting) > 0 && time.Since(c.awaiting[0].startedAt) > unresponsiveTimeout
+	return len(c.inFlight) > 0 && time.Since(c.inFlight[0].startedAt) > unresponsiveTimeout
 }
 
 // drain lets the connection deliver the responses that it owes and nothing more. The lock
 // is held.
 func (c *connection) drain() {
 	c.draining = true
-	if c.conn == nil || len(c.awaiting) == 0 {
+	if c.conn == nil || len(c.inFlight) == 0 {
 		c.close()
 		return
 	}
@@ -74,14 +74,14 @@
 // held.
 func (c *connection) close() {
 	c.closed = true
-	c.cancel()
+	c.cancelDial()
 	if c.conn != nil {
 		c.conn.Close()
 	}
-	for _, call := range c.awaiting {
+	for _, call := range c.inFlight {
 		c.client.complete(call, policy.TimedOut, 0)
 	}
-	c.awaiting = nil
+	c.inFlight = nil
 }
 
 // drop closes the connection after a failure. The lock is not held.
@@ -99,7 +99,7 @@
 		c.drop()
 		return
 	}
-	if !c.opened(conn) {
+	if !c.setConn(conn) {
 		conn.Close()
 		return
 	}
@@ -107,8 +107,8 @@
 	c.writeLoop()
 }
 
-// opened takes the dialed socket, and reports false if the connection was closed meanwhile.
-func (c *connection) opened(conn net.Conn) bool {
+// setConn takes the dialed socket, and reports false if the connection was closed meanwhile.
+func (c *connection) setConn(conn net.Conn) bool {
 	c.client.lock.Lock()
 	defer c.client.lock.Unlock()
 	if c.closed {
@@ -169,7 +169,7 @@
 	for _, call := range c.client.queue {
 		buffer = append(buffer, call.request...)
 	}
-	c.awaiting = append(c.awaiting, c.client.queue...)
+	c.inFlight = append(c.inFlight, c.client.queue...)
 	c.client.queue = nil
 	return buffer, true
 }
@@ -189,10 +189,10 @@
 func (c *connection) readLoop() {
 	defer c.conn.Close()
 	defer c.drop()
-	bounded := &io.LimitedReader{R: c.conn}
-	reader := bufio.NewReaderSize(bounded, readBufferSize)
+	limited := &io.LimitedReader{R: c.conn}
+	reader := bufio.NewReaderSize(limited, readBufferSize)
 	for {
-		bounded.N = maxResponseBytes
+		limited.N = maxResponseBytes
 		if reader.Buffered() == 0 {
 			if _, err := reader.Peek(1); err != nil {
 				return
@@ -209,14 +209,14 @@
 func (c *connection) deliver(received response) bool {
 	c.client.lock.Lock()
 	defer c.client.lock.Unlock()
-	if c.closed || len(c.awaiting) == 0 { // a response to no call
+	if c.closed || len(c.inFlight) == 0 { // a response to no call
 		return false
 	}
-	call := c.awaiting[0]
-	c.awaiting[0] = nil
-	c.awaiting = c.awaiting[1:]
+	call := c.inFlight[0]
+	c.inFlight[0] = nil
+	c.inFlight = c.inFlight[1:]
 	c.client.complete(call, received.outcome, received.total)
-	drained := c.draining && len(c.awaiting) == 0
+	drained := c.draining && len(c.inFlight) == 0
 	if received.reusable && !drained {
 		return true
 	}
--- a/internal/counterclient/response_test.go
+++ b/internal/counterclient/response_test.go
@@ -10,7 +10,7 @@
 
 // Guards what the client makes of a response: whether the call was added, and whether the
 // connection can be read on.
-func TestReadResponse(t *testing.T) {
+func TestReadResponseTellsOutcomeAndReuse(t *testing.T) {
 	const interim = "HTTP/1.1 100 Continue\r\n\r\n"
 	tests := []struct {
 		name, text string
