--- a/internal/knownfailures/judge.go
+++ b/internal/knownfailures/check.go
@@ -8,21 +8,21 @@
 	"strings"
 )
 
-// judge reads the events of a run, writes to out the output of packages and of failed tests and
+// checkRun reads the events of a run, writes to out the output of packages and of failed tests and
 // how each listed test ended, and returns why the run failed: nil if nothing but listed tests
 // did.
-func judge(list []knownFailure, events io.Reader, out io.Writer) error {
+func checkRun(list []knownFailure, events io.Reader, out io.Writer) error {
 	run := newTestRun(out)
 	run.read(events)
-	faults := slices.Concat(run.faults, unlistedFailures(run, list), packageFailures(run, list))
+	errs := slices.Concat(run.errs, unlistedFailures(run, list), packageFailures(run, list))
 	for _, known := range list {
 		if err := reportKnownFailure(run, known); err != nil {
-			faults = append(faults, err)
+			errs = append(errs, err)
 		}
 	}
 	// The order of the maps is random, that of the faults is not.
-	slices.SortFunc(faults, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
-	return errors.Join(faults...)
+	slices.SortFunc(errs, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
+	return errors.Join(errs...)
 }
 
 // unlistedFailures returns the tests that failed without being listed, and those that never
@@ -30,8 +30,8 @@
 func unlistedFailures(run *testRun, list []knownFailure) []error {
 	var faults []error
 	for id, status := range run.tests {
-		isExcused := status == failed && isListed(list, id.test)
-		if !isExcused && (status == failed || status == running) {
+		mayFail := status == failed && isListed(list, id.test)
+		if !mayFail && (status == failed || status == running) {
 			faults = append(faults, fmt.Errorf("%s %s: %s", id.packagePath, id.test, status))
 		}
 	}
@@ -41,15 +41,15 @@
 // packageFailures returns the packages that never finished, and those that failed without a
 // listed test to account for it.
 func packageFailures(run *testRun, list []knownFailure) []error {
-	excused := map[string]bool{}
+	hasListedFailure := map[string]bool{}
 	for id, status := range run.tests {
 		if status == failed && isListed(list, id.test) {
-			excused[id.packagePath] = true
+			hasListedFailure[id.packagePath] = true
 		}
 	}
 	var faults []error
 	for path, status := range run.packages {
-		if status == running || status == failed && !excused[path] {
+		if status == running || status == failed && !hasListedFailure[path] {
 			faults = append(faults, fmt.Errorf("%s: %s", path, status))
 		}
 	}
--- a/internal/knownfailures/judge_test.go
+++ b/internal/knownfailures/check_test.go
@@ -28,13 +28,13 @@
 }
 
 // Guards the check of every submission: listed tests may fail, and nothing else passes.
-func TestJudge(t *testing.T) {
+func TestOnlyListedTestsMayFail(t *testing.T) {
 	const list = "TestA: a cause: issue 8\n"
 	listedFailed := packageEvents("p", "fail", "TestA fail", "TestB pass")
 	for _, c := range []struct {
 		name, list, events string
-		fault              string // part of the error; empty: the run passes
-		shown              string // part of what is written
+		wantError          string // part of the error; empty: the run passes
+		wantOutput         string // part of what is written
 	}{
 		{"all pass", "", packageEvents("p", "pass", "TestA pass"), "", ""},
 		{"a listed test fails", list, listedFailed, "", "known red: TestA failed: a cause: issue 8\n"},
@@ -64,28 +64,28 @@
 			t.Fatal(err)
 		}
 		var out strings.Builder
-		err = judge(known, strings.NewReader(c.events), &out)
-		if (err == nil) != (c.fault == "") || err != nil && !strings.Contains(err.Error(), c.fault) {
-			t.Errorf("%s: %v, want %q", c.name, err, c.fault)
+		err = checkRun(known, strings.NewReader(c.events), &out)
+		if (err == nil) != (c.wantError == "") || err != nil && !strings.Contains(err.Error(), c.wantError) {
+			t.Errorf("%s: %v, want %q", c.name, err, c.wantError)
 		}
-		if !strings.Contains(out.String(), c.shown) {
-			t.Errorf("%s: shows %q, want %q", c.name, out.String(), c.shown)
+		if !strings.Contains(out.String(), c.wantOutput) {
+			t.Errorf("%s: shows %q, want %q", c.name, out.String(), c.wantOutput)
 		}
 	}
 }
 
 // Guards what is shown: not the output of passed tests, but that of packages.
-func TestJudgeShowsLittle(t *testing.T) {
+func TestOutputOfPassedTestsIsHidden(t *testing.T) {
 	var out strings.Builder
 	events := outputEvent("p", "of a pass\n") + packageEvents("p", "pass", "TestA pass") +
 		`{"Action":"output","Package":"p","Output":"ok  \tp\t0.1s\n"}` + "\n"
-	if err := judge(nil, strings.NewReader(events), &out); err != nil || out.String() != "ok  \tp\t0.1s\n" {
+	if err := checkRun(nil, strings.NewReader(events), &out); err != nil || out.String() != "ok  \tp\t0.1s\n" {
 		t.Errorf("%v, says %q", err, out.String())
 	}
 }
 
 // Guards the list's form.
-func TestParseList(t *testing.T) {
+func TestParseListRejectsMalformedLists(t *testing.T) {
 	line := func(n int) string { return fmt.Sprintf("Test%d: its cause: issue %d\n", n, n) }
 	for _, c := range []struct {
 		text string
--- a/internal/knownfailures/main.go
+++ b/internal/knownfailures/main.go
@@ -17,14 +17,14 @@
 const listFile = "KNOWN-RED.txt"
 
 func main() {
-	if err := judgeStandardInput(); err != nil {
+	if err := checkStandardInput(); err != nil {
 		fmt.Fprintln(os.Stderr, "knownfailures:", err)
 		os.Exit(1)
 	}
 }
 
-// judgeStandardInput judges the events on standard input by the list of the current directory.
-func judgeStandardInput() error {
+// checkStandardInput judges the events on standard input by the list of the current directory.
+func checkStandardInput() error {
 	text, err := os.ReadFile(listFile)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
@@ -33,5 +33,5 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", listFile, err)
 	}
-	return judge(list, os.Stdin, os.Stdout)
+	return checkRun(list, os.Stdin, os.Stdout)
 }
--- a/internal/knownfailures/testrun.go
+++ b/internal/knownfailures/testrun.go
@@ -52,19 +52,19 @@
 
 // testRun is what the events tell of one run of the tests.
 type testRun struct {
-	out      io.Writer             // takes the output of packages and of failed tests
-	tests    map[testID]testStatus // subtests left out
-	packages map[string]testStatus // by path
-	output   map[testID]string     // of unfinished tests, that of their subtests included
-	faults   []error               // which no list excuses
+	out              io.Writer             // takes the output of packages and of failed tests
+	tests            map[testID]testStatus // subtests left out
+	packages         map[string]testStatus // by path
+	unfinishedOutput map[testID]string     // of unfinished tests, that of their subtests included
+	errs             []error               // which no list excuses
 }
 
 func newTestRun(out io.Writer) *testRun {
 	return &testRun{
-		out:      out,
-		tests:    map[testID]testStatus{},
-		packages: map[string]testStatus{},
-		output:   map[testID]string{},
+		out:              out,
+		tests:            map[testID]testStatus{},
+		packages:         map[string]testStatus{},
+		unfinishedOutput: map[testID]string{},
 	}
 }
 
@@ -76,23 +76,23 @@
 		var e event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
 			fmt.Fprintf(r.out, "%s\n", lines.Bytes())
-			r.addFault(fmt.Errorf("not an event of a test: %q", lines.Text()))
+			r.addError(fmt.Errorf("not an event of a test: %q", lines.Text()))
 			continue
 		}
 		r.record(e)
 	}
 	if err := lines.Err(); err != nil {
-		r.addFault(fmt.Errorf("reading the events: %w", err))
+		r.addError(fmt.Errorf("reading the events: %w", err))
 	}
-	for _, text := range r.output {
+	for _, text := range r.unfinishedOutput {
 		io.WriteString(r.out, text)
 	}
 	if len(r.tests) == 0 {
-		r.addFault(errors.New("no test has run"))
+		r.addError(errors.New("no test has run"))
 	}
 }
 
-func (r *testRun) addFault(err error) { r.faults = append(r.faults, err) }
+func (r *testRun) addError(err error) { r.errs = append(r.errs, err) }
 
 // record records one event.
 func (r *testRun) record(e event) {
@@ -100,7 +100,7 @@
 	id := testID{packagePath: e.Package, test: test}
 	r.recordOutput(id, e)
 	if e.Action == actionBuildFailed {
-		r.addFault(errors.New("a build failed"))
+		r.addError(errors.New("a build failed"))
 		return
 	}
 	status, ok := statusOf(e.Action)
@@ -119,11 +119,11 @@
 	if id.test == "" {
 		io.WriteString(r.out, e.Output)
 	} else {
-		r.output[id] += e.Output
+		r.unfinishedOutput[id] += e.Output
 	}
 	for _, prefix := range crashPrefixes {
 		if strings.HasPrefix(e.Output, prefix) {
-			r.addFault(fmt.Errorf("%s %s: %s", e.Package, e.Test, strings.TrimSpace(e.Output)))
+			r.addError(fmt.Errorf("%s %s: %s", e.Package, e.Test, strings.TrimSpace(e.Output)))
 		}
 	}
 }
@@ -132,10 +132,10 @@
 func (r *testRun) recordTest(id testID, status testStatus) {
 	r.tests[id] = status
 	if status == failed {
-		io.WriteString(r.out, r.output[id])
+		io.WriteString(r.out, r.unfinishedOutput[id])
 	}
 	if status != running {
-		delete(r.output, id)
+		delete(r.unfinishedOutput, id)
 	}
 }
 
