--- a/cmd/edgenode/filelimit_test.go
+++ b/cmd/edgenode/filelimit_test.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	fileLimit       = 64 // file descriptors that the process may hold
-	upstreamFiles   = 24 // of these for endpoints
-	clientFiles     = 24 // and for clients
-	idleClients     = 150
-	idleReconnects  = 9 // of each idle client whose connection is closed
-	fileCountChecks = 200
+	fileLimit         = 64 // file descriptors that the process may hold
+	endpointFiles     = 24 // of these for endpoints
+	clientFiles       = 24 // and for clients
+	idleClients       = 150
+	maxIdleReconnects = 9 // of each idle client whose connection is closed
+	openFilesSamples  = 200
 )
 
 // Guards the descriptors: idle clients take all that they may while discovery, the counter and
@@ -27,7 +27,7 @@
 // what is left holds all the connections to endpoints that there may be, so that accepting
 // never fails for want of one; and it gets its connections to discovery, the counter and the
 // endpoint as soon as these are back.
-func TestIdleClientsLeaveDescriptorsToTheRest(t *testing.T) {
+func TestIdleClientsLeaveDescriptorsForOtherConnections(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) { testIdleClients(t, mode) })
 	}
@@ -125,12 +125,12 @@
 	t.Helper()
 	testsupport.Eventually(t, "the descriptors for clients to be used up", func() bool { return node.openFiles(t) >= clientFiles })
 	maxOpen := 0
-	for range fileCountChecks {
+	for range openFilesSamples {
 		maxOpen = max(maxOpen, node.openFiles(t))
 	}
-	if maxOpen+upstreamFiles+2 > fileLimit {
+	if maxOpen+endpointFiles+2 > fileLimit {
 		t.Errorf("%d of %d descriptors are in use, %d more may be for endpoints, 2 for discovery and the counter",
-			maxOpen, fileLimit, upstreamFiles)
+			maxOpen, fileLimit, endpointFiles)
 	}
 }
 
@@ -141,11 +141,11 @@
 	var all, connected sync.WaitGroup
 	for i := range idleClients {
 		connected.Add(1)
-		greeting := ""
+		firstBytes := ""
 		if i%2 == 0 {
-			greeting = "GET /c/x HTTP/1.1\r\nHost: x\r\nX-"
+			firstBytes = "GET /c/x HTTP/1.1\r\nHost: x\r\nX-"
 		}
-		all.Go(func() { runIdleClient(ctx, address, greeting, connected.Done) })
+		all.Go(func() { runIdleClient(ctx, address, firstBytes, connected.Done) })
 	}
 	t.Cleanup(all.Wait)
 	connected.Wait()
@@ -153,9 +153,9 @@
 
 // runIdleClient connects, and again a few times where its connection is closed, until ctx ends
 // or it can't connect. It calls connected after the first time.
-func runIdleClient(ctx context.Context, address, greeting string, connected func()) {
+func runIdleClient(ctx context.Context, address, firstBytes string, connected func()) {
 	dialer := net.Dialer{Timeout: testsupport.MaxWait}
-	for k := range 1 + idleReconnects {
+	for k := range 1 + maxIdleReconnects {
 		conn, err := dialer.DialContext(ctx, "tcp", address)
 		if k == 0 {
 			connected()
@@ -164,8 +164,8 @@
 			return
 		}
 		stop := context.AfterFunc(ctx, func() { conn.Close() })
-		if greeting != "" {
-			io.WriteString(conn, greeting)
+		if firstBytes != "" {
+			io.WriteString(conn, firstBytes)
 		}
 		io.Copy(io.Discard, conn) // until it is closed
 		stop()
--- a/cmd/edgenode/main.go
+++ b/cmd/edgenode/main.go
@@ -96,9 +96,9 @@
 	}
 }
 
-// heapShare is the part of the memory limit that the runtime is told to stay below. Over half
+// heapLimitFraction is the part of the memory limit that the runtime is told to stay below. Over half
 // of it is priced, and the kernel's part and the stacks come on top of the heap.
-const heapShare = 0.4
+const heapLimitFraction = 0.4
 
 // applyRuntimeLimits tells the runtime the limits of the process. The garbage collector keeps
 // its usual pace: run more seldom it lets the process grow through a long day, and growth is
@@ -108,6 +108,6 @@
 		runtime.GOMAXPROCS(int(math.Ceil(limits.Cores)))
 	}
 	if limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(limits.MemoryBytes())))
+		debug.SetMemoryLimit(int64(heapLimitFraction * float64(limits.MemoryBytes())))
 	}
 }
--- a/cmd/edgenode/main_test.go
+++ b/cmd/edgenode/main_test.go
@@ -55,7 +55,7 @@
 }
 
 // Guards the reading of the configuration, and that each fault in it is an error of one line.
-func TestLoad(t *testing.T) {
+func TestLoadReadsConfigurationAndReportsFaults(t *testing.T) {
 	t.Setenv(config.ListenVariable, "")
 	t.Setenv(config.DiscoveryVariable, "")
 	cfg, limits, err := load(writeConfig(t, validConfig))
@@ -98,7 +98,7 @@
 
 // Guards the signal for a new configuration: a file that can't be used changes nothing, and the
 // next valid one takes effect.
-func TestReload(t *testing.T) {
+func TestReloadIgnoresInvalidConfigurations(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	hangup := make(chan os.Signal)
 	updates := make(addressRecorder, 8)
@@ -134,7 +134,7 @@
 
 // Guards the running program: SIGHUP, twice and also during the graceful shutdown, does not end
 // it, and SIGTERM does with exit code 0.
-func TestSignals(t *testing.T) {
+func TestSIGHUPReloadsAndSIGTERMShutsDown(t *testing.T) {
 	path := writeConfig(t, validConfig)
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
 	cmd.Env = append(os.Environ(), runMainVariable+"=1", config.FileVariable+"="+path)
--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -42,18 +42,18 @@
 // adapter holds the policy's instances of this process and the batch at hand. It has no
 // goroutines and is used from one.
 type adapter struct {
-	now           policy.Time
-	instances     map[int]*policy.Gateway
-	endpointLists map[int][]policy.Endpoint // by the number under which Inventory gave them
-	batchOpen     bool
-	reply         []byte          // to the batch; its memory is used again
-	actions       []policy.Action // of one event; its memory is used again
+	now                  policy.Time
+	instances            map[int]*policy.Gateway
+	endpointListByNumber map[int][]policy.Endpoint // by the number under which Inventory gave them
+	batchOpen            bool
+	reply                []byte          // to the batch; its memory is used again
+	actions              []policy.Action // of one event; its memory is used again
 }
 
 func newAdapter() *adapter {
 	return &adapter{
-		instances:     map[int]*policy.Gateway{},
-		endpointLists: map[int][]policy.Endpoint{},
+		instances:            map[int]*policy.Gateway{},
+		endpointListByNumber: map[int][]policy.Endpoint{},
 	}
 }
 
@@ -78,7 +78,7 @@
 	case m.Name == messageGo && a.batchOpen:
 		return a.completeBatch(), nil
 	case m.Name == messageRound || !a.batchOpen:
-		return nil, fmt.Errorf("%q %w", m.Name, errOutOfPlace)
+		return nil, fmt.Errorf("%q %w", m.Name, errWrongBatchState)
 	case m.Name == messageInventory:
 		return nil, a.storeEndpoints(&m)
 	default:
@@ -114,7 +114,7 @@
 	if err != nil {
 		return &messageError{Name: m.Name, Err: err}
 	}
-	a.endpointLists[m.ListNumber] = endpoints
+	a.endpointListByNumber[m.ListNumber] = endpoints
 	return nil
 }
 
@@ -129,7 +129,7 @@
 	}
 	instance := a.instances[id]
 	if instance == nil {
-		return &messageError{Name: m.Name, Err: &notStartedError{InstanceID: id}}
+		return &messageError{Name: m.Name, Err: &notRunningError{InstanceID: id}}
 	}
 	if m.Name == messagePowerOff {
 		delete(a.instances, id)
--- a/cmd/simadapter/decode.go
+++ b/cmd/simadapter/decode.go
@@ -69,7 +69,7 @@
 	if scope == policy.FailedUpdate {
 		return policy.EndpointsUpdated{Scope: scope}, nil
 	}
-	endpoints, ok := a.endpointLists[m.ListNumber]
+	endpoints, ok := a.endpointListByNumber[m.ListNumber]
 	if !ok {
 		return nil, fmt.Errorf("page %d was never listed", m.ListNumber)
 	}
--- a/cmd/simadapter/errors.go
+++ b/cmd/simadapter/errors.go
@@ -7,7 +7,7 @@
 
 var (
 	errInputEndsInBatch = errors.New("input ends inside a batch")
-	errOutOfPlace       = errors.New("out of place")
+	errWrongBatchState  = errors.New("out of place")
 	errNoInstanceID     = errors.New("no nodeId")
 	errUnknownMessage   = errors.New("unknown message")
 )
@@ -32,9 +32,9 @@
 
 func (e *messageError) Unwrap() error { return e.Err }
 
-// notStartedError is a message to an instance that was never started, or was powered off.
-type notStartedError struct{ InstanceID int }
+// notRunningError is a message to an instance that was never started, or was powered off.
+type notRunningError struct{ InstanceID int }
 
-func (e *notStartedError) Error() string {
+func (e *notRunningError) Error() string {
 	return fmt.Sprintf("instance %d was never started", e.InstanceID)
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// TestTranscripts plays the batches in testdata/*.in and compares the replies, followed by the
+// TestRepliesMatchTranscripts plays the batches in testdata/*.in and compares the replies, followed by the
 // error if there is one, with *.out.
-func TestTranscripts(t *testing.T) {
+func TestRepliesMatchTranscripts(t *testing.T) {
 	inputs, err := filepath.Glob("testdata/*.in")
 	if err != nil || len(inputs) == 0 {
 		t.Fatal("no transcripts", err)
@@ -55,15 +55,15 @@
 	if !errors.As(err, &inMessage) || inMessage.Name != "Reminder" {
 		t.Errorf("%v, want an error of Reminder", err)
 	}
-	var notStarted *notStartedError
-	if !errors.As(err, &notStarted) || notStarted.InstanceID != 9 {
+	var notRunning *notRunningError
+	if !errors.As(err, &notRunning) || notRunning.InstanceID != 9 {
 		t.Errorf("%v, want an error of instance 9", err)
 	}
 
 	for input, want := range map[string]error{
 		begin:                               errInputEndsInBatch,
-		begin + begin:                       errOutOfPlace,
-		`{"msg":"Go"}`:                      errOutOfPlace,
+		begin + begin:                       errWrongBatchState,
+		`{"msg":"Go"}`:                      errWrongBatchState,
 		begin + `{"msg":"Reminder"}` + "\n": errNoInstanceID,
 	} {
 		if err := run(strings.NewReader(input), io.Discard); !errors.Is(err, want) {
--- a/internal/doccheck/doccheck_test.go
+++ b/internal/doccheck/doccheck_test.go
@@ -73,13 +73,13 @@
 `
 
 // Guards the check itself: it names each kind of item that lacks a comment, and no other.
-func TestUndocumentedItems(t *testing.T) {
-	set := token.NewFileSet()
-	syntax, err := parser.ParseFile(set, "p.go", checkedSource, parser.ParseComments)
+func TestUndocumentedItemsAreReported(t *testing.T) {
+	fileSet := token.NewFileSet()
+	syntax, err := parser.ParseFile(fileSet, "p.go", checkedSource, parser.ParseComments)
 	if err != nil {
 		t.Fatal(err)
 	}
-	file := sourceFile{set: set, syntax: syntax}
+	file := sourceFile{fileSet: fileSet, syntax: syntax}
 	got := undocumentedItems(file)
 	want := []string{
 		"p.go:3: exported Function has no doc comment",
@@ -99,15 +99,15 @@
 
 // sourceFile is one parsed Go file.
 type sourceFile struct {
-	set    *token.FileSet
-	syntax *ast.File
+	fileSet *token.FileSet
+	syntax  *ast.File
 }
 
 // parseRepository returns the repository's Go files by directory, without the test files.
 func parseRepository(t *testing.T) map[string][]sourceFile {
 	t.Helper()
 	root := os.DirFS(repositoryRoot)
-	set := token.NewFileSet()
+	fileSet := token.NewFileSet()
 	packages := map[string][]sourceFile{}
 	err := fs.WalkDir(root, ".", func(name string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -126,12 +126,12 @@
 		if err != nil {
 			return err
 		}
-		syntax, err := parser.ParseFile(set, name, text, parser.ParseComments)
+		syntax, err := parser.ParseFile(fileSet, name, text, parser.ParseComments)
 		if err != nil {
 			return err
 		}
 		directory := path.Dir(name)
-		packages[directory] = append(packages[directory], sourceFile{set: set, syntax: syntax})
+		packages[directory] = append(packages[directory], sourceFile{fileSet: fileSet, syntax: syntax})
 		return nil
 	})
 	if err != nil {
@@ -153,7 +153,7 @@
 func undocumentedItems(file sourceFile) []string {
 	var items []string
 	report := func(position token.Pos, name string) {
-		place := file.set.Position(position)
+		place := file.fileSet.Position(position)
 		items = append(items, fmt.Sprintf("%s:%d: exported %s has no doc comment", place.Filename, place.Line, name))
 	}
 	for _, declaration := range file.syntax.Decls {
--- a/internal/knownfailures/check.go
+++ b/internal/knownfailures/check.go
@@ -28,14 +28,14 @@
 // unlistedFailures returns the tests that failed without being listed, and those that never
 // finished, listed or not.
 func unlistedFailures(run *testRun, list []knownFailure) []error {
-	var faults []error
+	var errs []error
 	for id, status := range run.tests {
 		mayFail := status == failed && isListed(list, id.test)
 		if !mayFail && (status == failed || status == running) {
-			faults = append(faults, fmt.Errorf("%s %s: %s", id.packagePath, id.test, status))
+			errs = append(errs, fmt.Errorf("%s %s: %s", id.packagePath, id.test, status))
 		}
 	}
-	return faults
+	return errs
 }
 
 // packageFailures returns the packages that never finished, and those that failed without a
@@ -47,13 +47,13 @@
 			hasListedFailure[id.packagePath] = true
 		}
 	}
-	var faults []error
+	var errs []error
 	for path, status := range run.packages {
 		if status == running || status == failed && !hasListedFailure[path] {
-			faults = append(faults, fmt.Errorf("%s: %s", path, status))
+			errs = append(errs, fmt.Errorf("%s: %s", path, status))
 		}
 	}
-	return faults
+	return errs
 }
 
 // reportKnownFailure writes how a listed test ended. A test that does not exist, or was skipped,
--- a/internal/testclock/clock_test.go
+++ b/internal/testclock/clock_test.go
@@ -7,7 +7,7 @@
 )
 
 // Guards the order in which functions run, on which every figure of a simulated fleet rests.
-func TestClock(t *testing.T) {
+func TestFunctionsRunInOrderOfDueTime(t *testing.T) {
 	var clock Clock
 	var got []string
 	record := func(name string) func() {
