--- a/cmd/edgenode/main.go
+++ b/cmd/edgenode/main.go
@@ -66,14 +66,14 @@
 		}
 	}
 	return edge.Config{
-		Listen:    file.Listen,
-		Discovery: file.Discovery,
-		Counter:   file.Counter,
-		Seed:      file.Seed,
-		Sockets:   file.ProcessLimits.Sockets,
-		Memory:    file.ProcessLimits.MemoryBytes(),
-		Known:     known,
-		Settings:  file.Settings,
+		ListenAddress:    file.Listen,
+		DiscoveryAddress: file.Discovery,
+		CounterAddress:   file.Counter,
+		Seed:             file.Seed,
+		MaxDescriptors:   file.ProcessLimits.Sockets,
+		MemoryBytes:      file.ProcessLimits.MemoryBytes(),
+		KnownEndpoints:   known,
+		Settings:         file.Settings,
 	}, file.ProcessLimits, nil
 }
 
@@ -91,8 +91,8 @@
 			log.Error("kept the old configuration", "err", err)
 			continue
 		}
-		node.ChangeAddresses(cfg.Discovery, cfg.Counter)
-		log.Info("took the new configuration", "discovery", cfg.Discovery, "counter", cfg.Counter)
+		node.ChangeAddresses(cfg.DiscoveryAddress, cfg.CounterAddress)
+		log.Info("took the new configuration", "discovery", cfg.DiscoveryAddress, "counter", cfg.CounterAddress)
 	}
 }
 
--- a/internal/edge/counter_test.go
+++ b/internal/edge/counter_test.go
@@ -31,7 +31,7 @@
 func startCounterNode(t *testing.T, address string, timeout time.Duration) *Node {
 	t.Helper()
 	cfg := testConfig(t)
-	cfg.Counter = address
+	cfg.CounterAddress = address
 	cfg.Settings.Service.CounterTimeout = timeout
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -78,7 +78,7 @@
 		return true
 	})
 	cfg := testConfig(t)
-	cfg.Counter, cfg.Settings.Service.CounterEnabled = counter.Addr, true
+	cfg.CounterAddress, cfg.Settings.Service.CounterEnabled = counter.Addr, true
 	cfg.Settings.Service.CounterTimeout = testsupport.MaxWait // less than half of the request's time, or it would not wait
 	cfg.Settings.Classes[0].Deadline = 3 * testsupport.MaxWait
 	plan := &cfg.Settings.Plans[0]
--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -38,12 +38,12 @@
 func newPollingConfig(t *testing.T, address string, seed uint64, gateways int) Config {
 	t.Helper()
 	cfg := testConfig(t)
-	cfg.Discovery = address
+	cfg.DiscoveryAddress = address
 	cfg.Seed = seed
 	cfg.Settings.Gateways = gateways
 	cfg.Settings.DiscoveryMode = "ask"
 	cfg.Settings.Rules.SubscriptionTimeout = 10 * time.Second
-	cfg.Known.Instances = knownInstances()
+	cfg.KnownEndpoints.Instances = knownInstances()
 	return cfg
 }
 
@@ -74,7 +74,7 @@
 	})
 	t.Cleanup(func() { close(lists) })
 	cfg := testConfig(t)
-	cfg.Discovery = service.Addr
+	cfg.DiscoveryAddress = service.Addr
 	h := startNode(t, cfg)
 	expectServing := func(want string) {
 		t.Helper()
@@ -128,7 +128,7 @@
 	}
 	before, after := make(chan string, 16), make(chan string, 16)
 	cfg := testConfig(t)
-	cfg.Discovery = testsupport.StartFakeEndpoint(t, list("old", before)).Addr
+	cfg.DiscoveryAddress = testsupport.StartFakeEndpoint(t, list("old", before)).Addr
 	h := startNode(t, cfg)
 	if first, watch := <-before, <-before; first != "/api/targets" || !strings.Contains(watch, "index=7") {
 		t.Fatalf("calls %q, %q", first, watch)
@@ -208,7 +208,7 @@
 	quarters := [4]int{}                     // of the window, in which nodes make their first call
 	for seed := range uint64(fleet) {
 		cfg := newPollingConfig(t, service.Addr, seed, fleet)
-		cfg.Known.Generation = 41
+		cfg.KnownEndpoints.Generation = 41
 		n := newIdleNode(t, cfg)
 		recorder := &pollRecorder{t: t, node: n, failures: failures, pausedAt: time.Now()}
 		n.discovery.Options.Pause = recorder.pause
@@ -243,9 +243,9 @@
 			return respondUnavailable(c)
 		})
 		cfg := testConfig(t)
-		cfg.Discovery = service.Addr
+		cfg.DiscoveryAddress = service.Addr
 		cfg.Settings.Rules.DrainGrace = grace
-		cfg.Known.Instances = []discovery.Instance{{ID: "s-0", Lifecycle: discovery.Serving}}
+		cfg.KnownEndpoints.Instances = []discovery.Instance{{ID: "s-0", Lifecycle: discovery.Serving}}
 		n := newIdleNode(t, cfg)
 		const failures = 8
 		waits := 0
@@ -290,9 +290,9 @@
 			`[{"instanceId":"s-0","hostPort":"127.0.0.1:9","lifecycle":"DRAINING"}]}`)
 	})
 	cfg := testConfig(t)
-	cfg.Discovery = service.Addr
-	cfg.Known.Generation = 7
-	cfg.Known.Instances = knownInstances()
+	cfg.DiscoveryAddress = service.Addr
+	cfg.KnownEndpoints.Generation = 7
+	cfg.KnownEndpoints.Instances = knownInstances()
 	n := newIdleNode(t, cfg)
 	n.discovery.Options.Timing.LongPollWait = 10 * time.Millisecond
 	n.discovery.Options.Timing.SilenceMargin = 10 * time.Millisecond
@@ -388,7 +388,7 @@
 			return respondUnavailable(c)
 		})
 		cfg := testConfig(t)
-		cfg.Discovery = service.Addr
+		cfg.DiscoveryAddress = service.Addr
 		cfg.Settings.DiscoveryMode = mode
 		h := startNode(t, cfg)
 		if uri := testsupport.Receive(t, "a call", calls); uri != "/api/targets" {
--- a/internal/edge/handler_test.go
+++ b/internal/edge/handler_test.go
@@ -108,7 +108,7 @@
 	release := make(chan struct{})
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	cfg := testConfig(t)
-	cfg.Memory = frontend.MaxBodyBytes * 10 // one body of the largest size
+	cfg.MemoryBytes = frontend.MaxBodyBytes * 10 // one body of the largest size
 	h := startNode(t, cfg, endpoint.Addr)
 	first := h.dial()
 	long := []string{"Content-Length: 10", fmt.Sprintf("Content-Length: %d", frontend.MaxBodyBytes), "0123456789", strings.Repeat("z", frontend.MaxBodyBytes)}
--- a/internal/edge/harness_test.go
+++ b/internal/edge/harness_test.go
@@ -47,14 +47,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Config{Listen: "127.0.0.1:0", Settings: set, Seed: 7, Sockets: 256}
+	return Config{ListenAddress: "127.0.0.1:0", Settings: set, Seed: 7, MaxDescriptors: 256}
 }
 
 // startNode runs an edge node that knows endpoints s-0, s-1, ... at addrs.
 func startNode(t *testing.T, cfg Config, addrs ...string) *harness {
 	t.Helper()
 	for i, addr := range addrs {
-		cfg.Known.Instances = append(cfg.Known.Instances,
+		cfg.KnownEndpoints.Instances = append(cfg.KnownEndpoints.Instances,
 			discovery.Instance{ID: fmt.Sprintf("s-%d", i), HostPort: addr, Zone: "a", Lifecycle: "SERVING", Weight: 1})
 	}
 	node, err := New(cfg, slog.New(slog.DiscardHandler))
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -17,7 +17,7 @@
 // others out; the connection that has been idle for longest is evicted.
 func TestClientLimit(t *testing.T) {
 	cfg := testConfig(t)
-	cfg.Sockets = 22 // 6 more than are reserved, half of them for clients
+	cfg.MaxDescriptors = 22 // 6 more than are reserved, half of them for clients
 	h := startNode(t, cfg, testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
 	if limit := h.node.clients.Stats().MaxConns; limit != 3 {
 		t.Fatalf("the limit is %d connections, want 3", limit)
@@ -70,7 +70,7 @@
 func TestReservedDescriptors(t *testing.T) {
 	for _, sockets := range []int{24, 40, 64, 99, 256, 1024} {
 		cfg := testConfig(t)
-		cfg.Sockets = sockets
+		cfg.MaxDescriptors = sockets
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -19,14 +19,14 @@
 
 // Config is what an edge node is started with.
 type Config struct {
-	Listen    string // address for clients
-	Discovery string // address of discovery; empty: the known list stays
-	Counter   string // address of the counter; empty: none
-	Seed      uint64 // of this incarnation's random numbers
-	Sockets   int    // descriptors that the process may hold; 0: not configured
-	Memory    int64  // bytes that it may take; 0: not configured
-	Known     discovery.List
-	Settings  *config.Settings
+	ListenAddress    string // address for clients
+	DiscoveryAddress string // address of discovery; empty: the known list stays
+	CounterAddress   string // address of the counter; empty: none
+	Seed             uint64 // of this incarnation's random numbers
+	MaxDescriptors   int    // descriptors that the process may hold; 0: not configured
+	MemoryBytes      int64  // bytes that it may take; 0: not configured
+	KnownEndpoints   discovery.List
+	Settings         *config.Settings
 }
 
 // Node is one edge node. All fields below mu are guarded by it; nothing that
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	memory := frontend.NewMemoryBudget(bodyMemory(cfg.Memory))
+	memory := frontend.NewMemoryBudget(bodyMemory(cfg.MemoryBytes))
 	n := &Node{
 		cfg:        cfg,
 		log:        log,
@@ -85,24 +85,24 @@
 		phases:     newShutdownPhases(longestDeadline(cfg.Settings)),
 		parser:     frontend.NewParser(cfg.Settings),
 		memory:     memory,
-		clients:    frontend.NewTracker(maxClientConns(cfg.Sockets), memory),
+		clients:    frontend.NewTracker(maxClientConns(cfg.MaxDescriptors), memory),
 		fatalError: make(chan error, 1),
 		gateway:    gateway,
 		requests:   map[string]*request{},
-		pool:       upstream.NewPool(cfg.Settings, maxUpstreamConns(cfg.Sockets)),
+		pool:       upstream.NewPool(cfg.Settings, maxUpstreamConns(cfg.MaxDescriptors)),
 	}
 	n.ctx, n.stop = context.WithCancel(context.Background())
-	n.discovery = n.newDiscoveryClient(cfg.Discovery)
-	if cfg.Counter != "" {
-		n.counter = n.newCounterClient(cfg.Counter)
+	n.discovery = n.newDiscoveryClient(cfg.DiscoveryAddress)
+	if cfg.CounterAddress != "" {
+		n.counter = n.newCounterClient(cfg.CounterAddress)
 	}
 	return n, nil
 }
 
 // start begins to follow discovery and to execute the policy's actions.
 func (n *Node) start() {
-	n.applyList(n.cfg.Known, policy.CachedUpdate)
-	if n.cfg.Discovery != "" {
+	n.applyList(n.cfg.KnownEndpoints, policy.CachedUpdate)
+	if n.cfg.DiscoveryAddress != "" {
 		n.workers.Go(func() { n.discovery.Run(n.ctx) })
 	}
 	n.workers.Go(n.evictIdleConns)
--- a/internal/edge/shutdown.go
+++ b/internal/edge/shutdown.go
@@ -47,7 +47,7 @@
 // Run serves clients until ctx is done, then finishes what it has received. It returns nil
 // after a graceful shutdown, also if that had to cut connections off.
 func (n *Node) Run(ctx context.Context) error {
-	ln, err := net.Listen("tcp", n.cfg.Listen)
+	ln, err := net.Listen("tcp", n.cfg.ListenAddress)
 	if err != nil {
 		return fmt.Errorf("listening for clients: %w", err)
 	}
