--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -83,7 +83,7 @@
 	if conn == nil {
 		ctx, a.cancelDial = context.WithTimeout(n.ctx, n.pool.DialTimeout())
 	}
-	text := r.forwardText(timeout)
+	text := r.encode(timeout)
 	n.workers.Go(func() { n.runAttempt(ctx, a, conn, text) })
 }
 
@@ -97,9 +97,9 @@
 	return timeout
 }
 
-// forwardText returns the request as it is written to an endpoint, which is told the
+// encode returns the request as it is written to an endpoint, which is told the
 // attempt's timeout. The body is shared by all attempts and not copied.
-func (r *request) forwardText(timeout time.Duration) net.Buffers {
+func (r *request) encode(timeout time.Duration) net.Buffers {
 	const lineEnds = "\r\n\r\n"
 	const maxTimeoutDigits = 12
 	head := make([]byte, 0, len(r.forwardHead)+maxTimeoutDigits+len(lineEnds))
@@ -134,7 +134,7 @@
 // It runs in the attempt's goroutine, without the lock.
 func (n *Node) runAttempt(ctx context.Context, a *attempt, conn *upstream.Conn, text net.Buffers) {
 	if conn == nil {
-		conn = n.connectAttempt(ctx, a)
+		conn = n.dialForAttempt(ctx, a)
 	} else {
 		conn = n.reuseForAttempt(a, conn)
 	}
@@ -144,17 +144,17 @@
 	}
 	writtenAt := time.Now()
 	response := conn.Exchange(text)
-	n.finishAttempt(a, conn, writtenAt, response)
+	n.handleResponse(a, conn, writtenAt, response)
 }
 
-// connectAttempt dials a connection for an attempt, in the slot of the pool that is
+// dialForAttempt dials a connection for an attempt, in the slot of the pool that is
 // reserved for it. It returns nil if the dial fails or the attempt may no longer be
 // written.
-func (n *Node) connectAttempt(ctx context.Context, a *attempt) *upstream.Conn {
+func (n *Node) dialForAttempt(ctx context.Context, a *attempt) *upstream.Conn {
 	netConn, err := n.dial(ctx, "tcp", a.addr)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	conn := n.adoptConn(netConn, err, a.endpoint, a.addr)
+	conn := n.completeDial(netConn, err, a.endpoint, a.addr)
 	if conn == nil {
 		return nil
 	}
@@ -208,8 +208,8 @@
 	n.endAttempt(a, policy.ConnectFailed)
 }
 
-// finishAttempt ends an attempt with its response and gives its connection back.
-func (n *Node) finishAttempt(a *attempt, conn *upstream.Conn, writtenAt time.Time, response upstream.Response) {
+// handleResponse ends an attempt with its response and gives its connection back.
+func (n *Node) handleResponse(a *attempt, conn *upstream.Conn, writtenAt time.Time, response upstream.Response) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if a.ended {
@@ -259,5 +259,5 @@
 		ActualUnits: a.actualUnits,
 		Report:      a.loadReport,
 	})
-	n.forgetIfDone(r)
+	n.removeIfDone(r)
 }
--- a/internal/edge/endpoints.go
+++ b/internal/edge/endpoints.go
@@ -9,8 +9,8 @@
 	"swiftpitch/internal/upstream"
 )
 
-// endpointStates translates the lifecycles of discovery.
-var endpointStates = map[string]policy.EndpointState{
+// endpointStateByLifecycle translates the lifecycles of discovery.
+var endpointStateByLifecycle = map[string]policy.EndpointState{
 	discovery.Serving:  policy.Serving,
 	discovery.Draining: policy.Draining,
 	discovery.Deleted:  policy.Removed,
@@ -31,7 +31,7 @@
 	listed := listedEndpoints{ids: map[string]bool{}, servingAddresses: map[string]bool{}}
 	endpoints := make([]policy.Endpoint, 0, len(list.Instances))
 	for _, instance := range list.Instances {
-		state, ok := endpointStates[instance.Lifecycle]
+		state, ok := endpointStateByLifecycle[instance.Lifecycle]
 		if !ok || instance.ID == "" {
 			n.log.Warn("discovery lists an endpoint without an ID or in an unknown state",
 				"id", instance.ID, "lifecycle", instance.Lifecycle)
--- a/internal/edge/handler.go
+++ b/internal/edge/handler.go
@@ -11,10 +11,10 @@
 const (
 	// readyPath is where the front and the deployment ask whether this node takes requests.
 	readyPath = "/-/ready"
-	// maxUnreservedBody is the longest body, in bytes, that does not count against the memory
+	// maxUnreservedBodyBytes is the longest body, in bytes, that does not count against the memory
 	// budget, so that long bodies that are declared and never sent cannot keep out ordinary
 	// requests.
-	maxUnreservedBody = 4 << 10
+	maxUnreservedBodyBytes = 4 << 10
 )
 
 // errDuplicateID tells that a client reuses the id of a request that is still open.
@@ -62,7 +62,7 @@
 
 // bodyReservation returns how much of the memory budget a body takes.
 func bodyReservation(length int64) int64 {
-	if length <= maxUnreservedBody || length > frontend.MaxBodyBytes { // longer ones are not read
+	if length <= maxUnreservedBodyBytes || length > frontend.MaxBodyBytes { // longer ones are not read
 		return 0
 	}
 	return length
--- a/internal/edge/harness_test.go
+++ b/internal/edge/harness_test.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	node.phases.accept = 10 * time.Millisecond
+	node.phases.acceptDuration = 10 * time.Millisecond
 	listener := testsupport.Listen(t)
 	ctx, stop := context.WithCancel(context.Background())
 	h := &harness{t: t, node: node, addr: listener.Addr().String(), stop: stop, done: make(chan error, 1)}
--- a/internal/edge/healthcheck.go
+++ b/internal/edge/healthcheck.go
@@ -47,7 +47,7 @@
 	ctx, cancel := context.WithTimeout(n.ctx, n.pool.DialTimeout())
 	defer cancel()
 	if conn == nil {
-		conn = n.connectHealthCheck(ctx, check)
+		conn = n.dialForHealthCheck(ctx, check)
 	}
 	response := upstream.Response{Outcome: policy.ConnectFailed}
 	if conn != nil {
@@ -65,13 +65,13 @@
 	n.endHealthCheck(check, response)
 }
 
-// connectHealthCheck dials a connection for a health check, in the slot of the pool that
+// dialForHealthCheck dials a connection for a health check, in the slot of the pool that
 // is reserved for it. It returns nil if the dial fails or the check may no longer start.
-func (n *Node) connectHealthCheck(ctx context.Context, check *healthCheck) *upstream.Conn {
+func (n *Node) dialForHealthCheck(ctx context.Context, check *healthCheck) *upstream.Conn {
 	netConn, err := n.dial(ctx, "tcp", check.addr)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	conn := n.adoptConn(netConn, err, check.endpoint, check.addr)
+	conn := n.completeDial(netConn, err, check.endpoint, check.addr)
 	if conn == nil {
 		return nil
 	}
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -18,8 +18,8 @@
 
 	// bodyMemoryShare is the share of the memory that bodies in hand may take.
 	bodyMemoryShare = 0.1
-	// defaultBodyMemory is how many bytes those may take where the memory is not configured.
-	defaultBodyMemory = 64 << 20
+	// defaultBodyMemoryBytes is how many bytes those may take where the memory is not configured.
+	defaultBodyMemoryBytes = 64 << 20
 )
 
 // maxConns is how many connections of a kind there may be, by the descriptors that
@@ -46,11 +46,11 @@
 	return maxConns(descriptors, upstreamConnShare)
 }
 
-// bodyMemory is how many bytes bodies in hand may take; memory is 0 where it is not
+// bodyMemoryBudget is how many bytes bodies in hand may take; memory is 0 where it is not
 // configured. One body of the largest size always fits.
-func bodyMemory(memory int64) int64 {
+func bodyMemoryBudget(memory int64) int64 {
 	if memory <= 0 {
-		return defaultBodyMemory
+		return defaultBodyMemoryBytes
 	}
 	return max(int64(bodyMemoryShare*float64(memory)), frontend.MaxBodyBytes)
 }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	memory := frontend.NewMemoryBudget(bodyMemory(cfg.MemoryBytes))
+	memory := frontend.NewMemoryBudget(bodyMemoryBudget(cfg.MemoryBytes))
 	n := &Node{
 		cfg:        cfg,
 		log:        log,
@@ -188,9 +188,9 @@
 	case policy.CancelAttempt:
 		n.cancelAttempt(action)
 	case policy.Reject:
-		n.finish(action.RequestID, answer{status: statusRejected, retryAfter: action.RetryAfter})
+		n.completeRequest(action.RequestID, answer{status: statusRejected, retryAfter: action.RetryAfter})
 	case policy.Fail:
-		n.finish(action.RequestID, answer{status: statusFailed})
+		n.completeRequest(action.RequestID, answer{status: statusFailed})
 	case policy.AddToCounter:
 		n.addToCounter(action)
 	case policy.StartTimer:
--- a/internal/edge/readahead_test.go
+++ b/internal/edge/readahead_test.go
@@ -96,7 +96,7 @@
 	release := make(chan struct{})
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	h := startNode(t, testConfig(t), endpoint.Addr)
-	h.node.phases.read, h.node.phases.answer = testsupport.MaxWait, testsupport.MaxWait
+	h.node.phases.readDuration, h.node.phases.answerTimeout = testsupport.MaxWait, testsupport.MaxWait
 	c := h.dial()
 	io.WriteString(c, clientRequest("lookup", "00000000000000aa"))
 	testsupport.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -117,17 +117,17 @@
 	}
 	n.deliverAnswer(r, a)
 	n.dispatch(policy.ClientDisconnected{RequestID: r.id})
-	n.forgetIfDone(r)
+	n.removeIfDone(r)
 }
 
-// finish carries out a final answer of the policy. The lock is held.
-func (n *Node) finish(id string, a answer) {
+// completeRequest carries out a final answer of the policy. The lock is held.
+func (n *Node) completeRequest(id string, a answer) {
 	r := n.requests[id]
 	if r == nil || r.answered {
 		return
 	}
 	n.deliverAnswer(r, a)
-	n.forgetIfDone(r)
+	n.removeIfDone(r)
 }
 
 // deliverAnswer gives a request its one final answer. The lock is held.
@@ -137,8 +137,8 @@
 	r.answer <- a
 }
 
-// forgetIfDone forgets a request that is answered and has no attempt in flight. The lock is held.
-func (n *Node) forgetIfDone(r *request) {
+// removeIfDone forgets a request that is answered and has no attempt in flight. The lock is held.
+func (n *Node) removeIfDone(r *request) {
 	if r.answered && r.attemptsInFlight == 0 && n.requests[r.id] == r {
 		delete(n.requests, r.id)
 	}
--- a/internal/edge/shutdown.go
+++ b/internal/edge/shutdown.go
@@ -18,29 +18,29 @@
 	acceptDuration = 500 * time.Millisecond
 	readDuration   = 150 * time.Millisecond
 	// SIGKILL comes after SIGTERM no sooner than the longest deadline, counted as
-	// maxKillDelay where it is longer, and killSlack. killMargin before that, what is still
+	// maxCountedDeadline where it is longer, and killSlack. killMargin before that, what is still
 	// open gets its final answer; writeDuration is for writing those.
-	maxKillDelay  = 3 * time.Second
-	killSlack     = 700 * time.Millisecond
-	killMargin    = 100 * time.Millisecond
-	writeDuration = killMargin / 2
+	maxCountedDeadline = 3 * time.Second
+	killGrace          = 700 * time.Millisecond
+	killMargin         = 100 * time.Millisecond
+	writeDuration      = killMargin / 2
 )
 
 // shutdownPhases are the steps of a graceful shutdown.
 type shutdownPhases struct {
-	accept time.Duration // after the stop, new connections are accepted until then
-	read   time.Duration // and requests on their way are read for this long more
-	answer time.Duration // after the stop, all is answered by then
-	write  time.Duration // and written by this much later
+	acceptDuration time.Duration // after the stop, new connections are accepted until then
+	readDuration   time.Duration // and requests on their way are read for this long more
+	answerTimeout  time.Duration // after the stop, all is answered by then
+	writeDuration  time.Duration // and written by this much later
 }
 
 // newShutdownPhases returns the phases for clients that wait no longer than a deadline.
 func newShutdownPhases(longestDeadline time.Duration) shutdownPhases {
 	return shutdownPhases{
-		accept: acceptDuration,
-		read:   readDuration,
-		answer: min(longestDeadline, maxKillDelay) + killSlack - killMargin,
-		write:  writeDuration,
+		acceptDuration: acceptDuration,
+		readDuration:   readDuration,
+		answerTimeout:  min(longestDeadline, maxCountedDeadline) + killGrace - killMargin,
+		writeDuration:  writeDuration,
 	}
 }
 
@@ -86,19 +86,19 @@
 	n.draining = true
 	n.mu.Unlock()
 	server.StartDraining()
-	if err := server.StopAccepting(requestedAt.Add(n.phases.accept)); err != nil {
+	if err := server.StopAccepting(requestedAt.Add(n.phases.acceptDuration)); err != nil {
 		return err
 	}
 	<-served
-	server.StopReading(time.Now().Add(n.phases.read))
-	failAt := requestedAt.Add(n.phases.answer)
+	server.StopReading(time.Now().Add(n.phases.readDuration))
+	failAt := requestedAt.Add(n.phases.answerTimeout)
 	n.mu.Lock()
 	n.afterFunc(time.Until(failAt), n.failPending)
 	n.mu.Unlock()
 	select {
 	case <-server.AllClosed():
 		n.log.Info("drained")
-	case <-time.After(time.Until(failAt.Add(n.phases.write))):
+	case <-time.After(time.Until(failAt.Add(n.phases.writeDuration))):
 		n.log.Warn("connections left open at the end of draining")
 	}
 	return server.Close()
--- a/internal/edge/shutdown_test.go
+++ b/internal/edge/shutdown_test.go
@@ -18,8 +18,8 @@
 func TestPendingRequestsFailBeforeTheKill(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, func(net.Conn, *http.Request, []byte) bool { return true }) // never answers
 	h := startNode(t, testConfig(t), endpoint.Addr)
-	h.node.phases.answer = 50 * time.Millisecond // long before the request's own time is up
-	h.node.phases.write = testsupport.MaxWait
+	h.node.phases.answerTimeout = 50 * time.Millisecond // long before the request's own time is up
+	h.node.phases.writeDuration = testsupport.MaxWait
 	c := h.dial()
 	io.WriteString(c, clientRequest("merge", "00000000000000aa"))
 	testsupport.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
@@ -43,11 +43,11 @@
 	for _, longest := range []time.Duration{300 * time.Millisecond, 1100 * time.Millisecond, 2500 * time.Millisecond,
 		4 * time.Second, 30 * time.Second} {
 		kill := min(longest, 3*time.Second) + 700*time.Millisecond
-		if got := newShutdownPhases(longest).answer; got >= kill || got < kill-150*time.Millisecond {
+		if got := newShutdownPhases(longest).answerTimeout; got >= kill || got < kill-150*time.Millisecond {
 			t.Errorf("deadline %v: drained for %v, killed after %v", longest, got, kill)
 		}
-		if last := acceptDuration + longest; longest <= 3*time.Second && newShutdownPhases(longest).answer < last {
-			t.Errorf("deadline %v: drained for %v, requests received by then may run until %v", longest, newShutdownPhases(longest).answer, last)
+		if last := acceptDuration + longest; longest <= 3*time.Second && newShutdownPhases(longest).answerTimeout < last {
+			t.Errorf("deadline %v: drained for %v, requests received by then may run until %v", longest, newShutdownPhases(longest).answerTimeout, last)
 		}
 	}
 }
@@ -56,7 +56,7 @@
 // it is read to its end and served.
 func TestShutdownReadsPartialRequests(t *testing.T) {
 	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
-	h.node.phases.read, h.node.phases.answer = testsupport.MaxWait, testsupport.MaxWait
+	h.node.phases.readDuration, h.node.phases.answerTimeout = testsupport.MaxWait, testsupport.MaxWait
 	text := clientRequest("merge", "00000000000000aa")
 	silent, half, body := h.dial(), h.dial(), h.dial() // nothing, half a head and half a body before the stop
 	io.WriteString(half, text[:40])
@@ -84,7 +84,7 @@
 // shutdown begins: the connection is not idle any more, and the request is served.
 func TestShutdownServesRequestBegun(t *testing.T) {
 	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
-	h.node.phases.read, h.node.phases.answer = testsupport.MaxWait, testsupport.MaxWait
+	h.node.phases.readDuration, h.node.phases.answerTimeout = testsupport.MaxWait, testsupport.MaxWait
 	c := h.dial()
 	c.roundTrip(clientRequest("lookup", "00000000000000aa"))
 	idle := func() int { return h.node.clients.Stats().Idle }
@@ -138,7 +138,7 @@
 		return testsupport.RespondOK(c, req, body)
 	})
 	h := startNode(t, testConfig(t), endpoint.Addr)
-	h.node.phases.accept = testsupport.MaxWait / 10
+	h.node.phases.acceptDuration = testsupport.MaxWait / 10
 	idle, busy := h.dial(), h.dial()
 	idle.roundTrip(clientRequest("lookup", "00000000000000bb"))
 	io.WriteString(busy, clientRequest("merge", "00000000000000aa"))
--- a/internal/edge/upstreamconn.go
+++ b/internal/edge/upstreamconn.go
@@ -20,9 +20,9 @@
 	return nil, n.pool.Reserve()
 }
 
-// adoptConn takes in the result of a dial in a reserved slot. It returns nil, with the
+// completeDial takes in the result of a dial in a reserved slot. It returns nil, with the
 // slot given back, if the dial failed or the node has closed. The lock is held.
-func (n *Node) adoptConn(netConn net.Conn, err error, endpoint *upstream.Endpoint, addr string) *upstream.Conn {
+func (n *Node) completeDial(netConn net.Conn, err error, endpoint *upstream.Endpoint, addr string) *upstream.Conn {
 	if err != nil {
 		n.pool.CancelReservation()
 		return nil
