--- a/internal/edge/attempt_test.go
+++ b/internal/edge/attempt_test.go
@@ -16,15 +16,15 @@
 	"swiftpitch/internal/upstream"
 )
 
-// holdDials notifies of each dial to an endpoint that starts. Those that are to be held
+// blockDials notifies of each dial to an endpoint that starts. Those that are to be held
 // succeed only once release is closed, whatever the dial timeout.
-func (h *harness) holdDials(held func() bool) (started <-chan struct{}, release chan<- struct{}) {
+func (h *harness) blockDials(shouldBlock func() bool) (started <-chan struct{}, release chan<- struct{}) {
 	dialing, released := make(chan struct{}, 8), make(chan struct{})
 	h.node.mu.Lock()
 	defer h.node.mu.Unlock()
 	h.node.dial = func(_ context.Context, network, addr string) (net.Conn, error) {
 		dialing <- struct{}{}
-		if held() {
+		if shouldBlock() {
 			<-released
 		}
 		return net.Dial(network, addr)
@@ -38,7 +38,7 @@
 func TestDrainGraceEndsDuringDial(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
-	started, release := h.holdDials(func() bool { return true })
+	started, release := h.blockDials(func() bool { return true })
 	c := h.dial()
 	io.WriteString(c, clientRequest("merge", "00000000000000aa"))
 	<-started
@@ -62,7 +62,7 @@
 	fault := testsupport.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 	a, b := testsupport.StartFakeEndpoint(t, fault), testsupport.StartFakeEndpoint(t, fault)
 	h := startNode(t, testConfig(t), a.Addr, b.Addr)
-	started, release := h.holdDials(func() bool { return len(append(a.Requests(), b.Requests()...)) > 0 })
+	started, release := h.blockDials(func() bool { return len(append(a.Requests(), b.Requests()...)) > 0 })
 	c := h.dial()
 	io.WriteString(c, clientRequest("save", "00000000000000aa"))
 	<-started
--- a/internal/edge/counter_test.go
+++ b/internal/edge/counter_test.go
@@ -201,19 +201,19 @@
 // still delivers the responses that it owes, and is closed after the last of them.
 func TestCounterChangesAddress(t *testing.T) {
 	release, closed := make(chan struct{}), make(chan struct{})
-	old := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	previous := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		<-release
 		testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n111")(c, req, nil)
 		io.Copy(io.Discard, c)
 		close(closed)
 		return false
 	})
-	fresh := testsupport.StartFakeEndpoint(t, testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n222"))
-	n := startCounterNode(t, old.Addr, testsupport.MaxWait)
+	replacement := testsupport.StartFakeEndpoint(t, testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n222"))
+	n := startCounterNode(t, previous.Addr, testsupport.MaxWait)
 	replies := recordCounter(n)
 	n.testAdd(1, 1)
-	testsupport.Eventually(t, "the first call", func() bool { return len(old.Requests()) == 1 })
-	n.ChangeAddresses("", fresh.Addr)
+	testsupport.Eventually(t, "the first call", func() bool { return len(previous.Requests()) == 1 })
+	n.ChangeAddresses("", replacement.Addr)
 	n.testAdd(2, 1)
 	if got, want := replies.next(t), (policy.CounterReplied{Key: 2, Total: 222}); got != want {
 		t.Errorf("call to the new address: %+v", got)
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -44,7 +44,7 @@
 	for _, class := range []string{"lookup", "merge"} {
 		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 		h := startNode(t, testConfig(t), endpoint.Addr)
-		started, release := h.holdDials(func() bool { return true })
+		started, release := h.blockDials(func() bool { return true })
 		c := h.dial()
 		io.WriteString(c, clientRequest(class, "00000000000000aa"))
 		<-started
@@ -200,9 +200,9 @@
 	}
 }
 
-// waitForReusableConn waits until an endpoint has one idle connection, which may take the
+// awaitReusableConn waits until an endpoint has one idle connection, which may take the
 // next request.
-func (h *harness) waitForReusableConn(endpointID string) *upstream.Endpoint {
+func (h *harness) awaitReusableConn(endpointID string) *upstream.Endpoint {
 	h.t.Helper()
 	h.node.mu.Lock()
 	endpoint := h.node.pool.Endpoint(endpointID)
@@ -236,7 +236,7 @@
 		cfg.Settings.Limits.AllowCancel = cancel
 		h := startNode(t, cfg, endpoint.Addr)
 		h.dial().roundTrip(clientRequest("lookup", "00000000000000aa"))
-		upstreamEndpoint := h.waitForReusableConn("s-0")
+		upstreamEndpoint := h.awaitReusableConn("s-0")
 		h.node.mu.Lock()
 		q := h.beginRequest("00000000000000bb", nil)
 		if q.attemptsInFlight != 1 || len(upstreamEndpoint.IdleConns()) != 0 {
--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -29,8 +29,8 @@
 	return true
 }
 
-// knownInstances is the list of one endpoint that serves.
-func knownInstances() []discovery.Instance {
+// oneServingInstance is the list of one endpoint that serves.
+func oneServingInstance() []discovery.Instance {
 	return []discovery.Instance{{ID: "s-0", HostPort: "127.0.0.1:9", Lifecycle: discovery.Serving}}
 }
 
@@ -43,12 +43,12 @@
 	cfg.Settings.Gateways = gateways
 	cfg.Settings.DiscoveryMode = "ask"
 	cfg.Settings.Rules.SubscriptionTimeout = 10 * time.Second
-	cfg.KnownEndpoints.Instances = knownInstances()
+	cfg.KnownEndpoints.Instances = oneServingInstance()
 	return cfg
 }
 
-// newIdleNode returns a node that is not started.
-func newIdleNode(t *testing.T, cfg Config) *Node {
+// newUnstartedNode returns a node that is not started.
+func newUnstartedNode(t *testing.T, cfg Config) *Node {
 	t.Helper()
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -166,31 +166,31 @@
 	}
 }
 
-// pollRecorder stands in for the pauses between the calls of a node that polls discovery:
+// pauseRecorder stands in for the pauses between the calls of a node that polls discovery:
 // it records them without waiting, and stops the node after a number of failed calls.
-type pollRecorder struct {
-	t        *testing.T
-	node     *Node
-	failures int
-	waits    []time.Duration
-	pausedAt time.Time // when the last pause ended and the call after it began
+type pauseRecorder struct {
+	t            *testing.T
+	node         *Node
+	failures     int
+	pauses       []time.Duration
+	pauseEndedAt time.Time // when the last pause ended and the call after it began
 }
 
-func (p *pollRecorder) pause(_ context.Context, wait time.Duration) {
-	if len(p.waits) > 0 {
+func (p *pauseRecorder) pause(_ context.Context, wait time.Duration) {
+	if len(p.pauses) > 0 {
 		minInterval := time.Duration((1 - discovery.PollIntervalJitter) * float64(discovery.MaxPollInterval))
-		if interval := wait + time.Since(p.pausedAt); interval < minInterval {
+		if interval := wait + time.Since(p.pauseEndedAt); interval < minInterval {
 			p.t.Errorf("a call %v after the one before: the fleet calls too often", interval)
 		}
 		if wait+discovery.PollResponseAllowance >= discovery.NotificationDeadline {
 			p.t.Errorf("a wait of %v: what discovery had counts as notified after %v", wait, discovery.NotificationDeadline)
 		}
 	}
-	p.waits = append(p.waits, wait)
-	if len(p.waits) > p.failures {
+	p.pauses = append(p.pauses, wait)
+	if len(p.pauses) > p.failures {
 		p.node.stop()
 	}
-	p.pausedAt = time.Now()
+	p.pauseEndedAt = time.Now()
 }
 
 // Guards discovery against a fleet in step: nodes that start together spread their first
@@ -209,11 +209,11 @@
 	for seed := range uint64(fleet) {
 		cfg := newPollingConfig(t, service.Addr, seed, fleet)
 		cfg.KnownEndpoints.Generation = 41
-		n := newIdleNode(t, cfg)
-		recorder := &pollRecorder{t: t, node: n, failures: failures, pausedAt: time.Now()}
+		n := newUnstartedNode(t, cfg)
+		recorder := &pauseRecorder{t: t, node: n, failures: failures, pauseEndedAt: time.Now()}
 		n.discovery.Options.Pause = recorder.pause
 		n.discovery.Run(n.ctx)
-		waits := recorder.waits
+		waits := recorder.pauses
 		if len(waits) != failures+1 || waits[0] < 0 || waits[0] >= window {
 			t.Fatalf("waits %v, want %d and the first within %v", waits, failures+1, window)
 		}
@@ -246,7 +246,7 @@
 		cfg.DiscoveryAddress = service.Addr
 		cfg.Settings.Rules.DrainGrace = grace
 		cfg.KnownEndpoints.Instances = []discovery.Instance{{ID: "s-0", Lifecycle: discovery.Serving}}
-		n := newIdleNode(t, cfg)
+		n := newUnstartedNode(t, cfg)
 		const failures = 8
 		waits := 0
 		n.discovery.Options.Pause = func(_ context.Context, wait time.Duration) {
@@ -292,8 +292,8 @@
 	cfg := testConfig(t)
 	cfg.DiscoveryAddress = service.Addr
 	cfg.KnownEndpoints.Generation = 7
-	cfg.KnownEndpoints.Instances = knownInstances()
-	n := newIdleNode(t, cfg)
+	cfg.KnownEndpoints.Instances = oneServingInstance()
+	n := newUnstartedNode(t, cfg)
 	n.discovery.Options.Timing.LongPollWait = 10 * time.Millisecond
 	n.discovery.Options.Timing.SilenceMargin = 10 * time.Millisecond
 	n.start()
@@ -316,7 +316,7 @@
 	const fleet = 12
 	holds := map[int]bool{}
 	for seed := range uint64(fleet) {
-		for _, ms := range heldPolls(t, seed) {
+		for _, ms := range longPollWaits(t, seed) {
 			holds[ms] = true
 		}
 	}
@@ -325,9 +325,9 @@
 	}
 }
 
-// heldPolls runs a node whose third call to discovery falls silent, and returns the
+// longPollWaits runs a node whose third call to discovery falls silent, and returns the
 // long-poll waits of its second and third call in milliseconds.
-func heldPolls(t *testing.T, seed uint64) [2]int {
+func longPollWaits(t *testing.T, seed uint64) [2]int {
 	t.Helper()
 	const hold = 100 * time.Millisecond
 	var calls atomic.Int32
@@ -344,7 +344,7 @@
 		respondList(c, `{"generation":8,"reset":false,"instances":[]}`)
 		return calls.Load() < 3
 	})
-	n := newIdleNode(t, newPollingConfig(t, service.Addr, seed, 300))
+	n := newUnstartedNode(t, newPollingConfig(t, service.Addr, seed, 300))
 	n.discovery.Options.Timing.LongPollWait = hold
 	n.discovery.Options.Timing.SilenceMargin = hold
 	pauses := 0
--- a/internal/edge/shutdown_test.go
+++ b/internal/edge/shutdown_test.go
@@ -113,8 +113,8 @@
 	if _, err := io.ReadFull(conn, make([]byte, len(text))); err != nil { // the library has read it
 		t.Fatal(err)
 	}
-	_, newcomer := connect(t, listener)
-	tracker.ConnContext(context.Background(), newcomer) // evicts conn, which is not yet busy
+	_, second := connect(t, listener)
+	tracker.ConnContext(context.Background(), second) // evicts conn, which is not yet busy
 	h.expectAborted(ctx)
 	if got := endpoint.Requests(); len(got) > 0 {
 		t.Errorf("endpoint got %q", got)
