--- a/internal/edge/attempt_test.go
+++ b/internal/edge/attempt_test.go
@@ -81,10 +81,10 @@
 	}
 }
 
-// TestLostConnectionIsNotUnresponsive guards endpoints against being taken for
+// TestEndpointUsedAgainAfterLostConnection guards endpoints against being taken for
 // unresponsive: one that broke a connection and then had nothing to do for long gets
 // requests again while the other is busy.
-func TestLostConnectionIsNotUnresponsive(t *testing.T) {
+func TestEndpointUsedAgainAfterLostConnection(t *testing.T) {
 	var broken atomic.Bool
 	release := make(chan struct{})
 	defer close(release)
@@ -113,10 +113,10 @@
 	testsupport.Eventually(t, "a request for the endpoint that broke a connection", func() bool { return len(a.Requests()) > 41 })
 }
 
-// TestThirdConcurrentRequest guards requests against being rejected for a queue that does
+// TestThirdConcurrentRequestIsForwarded guards requests against being rejected for a queue that does
 // not exist: nothing is known yet of an endpoint's speed, and it gets a third request
 // beside two.
-func TestThirdConcurrentRequest(t *testing.T) {
+func TestThirdConcurrentRequestIsForwarded(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
--- a/internal/edge/connreuse_test.go
+++ b/internal/edge/connreuse_test.go
@@ -21,9 +21,9 @@
 	"swiftpitch/internal/upstream"
 )
 
-// TestStaleConnection guards non-idempotent requests against stale connections: one that
+// TestStaleConnectionIsNotReused guards non-idempotent requests against stale connections: one that
 // the endpoint has closed while idle is not written to, which would end as a reset.
-func TestStaleConnection(t *testing.T) {
+func TestStaleConnectionIsNotReused(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		testsupport.RespondOK(c, req, body)
 		return false // closes the connection without announcing it
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestKeepAlive checks that connections to endpoints are kept alive and used again
+// TestConnectionIsReused checks that connections to endpoints are kept alive and used again
 // rather than opened for each attempt.
-func TestKeepAlive(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	ports := make(chan string, 8)
 	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		ports <- c.RemoteAddr().String()
--- a/internal/edge/counter_test.go
+++ b/internal/edge/counter_test.go
@@ -65,7 +65,7 @@
 }
 
 // Guards the form of a call and the order of pipelined responses.
-func TestCounterCalls(t *testing.T) {
+func TestCounterCallsArePipelined(t *testing.T) {
 	uris := make(chan string, 8)
 	total := 0
 	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
@@ -95,7 +95,7 @@
 
 // Guards the totals: a response that comes after its call's timeout is dropped, and is not
 // taken for the response to the next call.
-func TestCounterLateResponse(t *testing.T) {
+func TestCounterLateResponseIsDropped(t *testing.T) {
 	release := make(chan struct{})
 	calls := 0
 	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
@@ -122,7 +122,7 @@
 
 // Guards the totals of an overloaded counter: a response that takes longer than the
 // settings' counter timeout, but not several of them, still counts.
-func TestCounterOverloaded(t *testing.T) {
+func TestCounterSlowResponseCounts(t *testing.T) {
 	const timeout = 250 * time.Millisecond
 	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		time.Sleep(timeout * 3 / 2)
@@ -159,7 +159,7 @@
 
 // Guards the calls after a counter's machine has vanished: a connection that owes responses
 // for long is closed, and the next calls go over a new one.
-func TestUnresponsiveCounter(t *testing.T) {
+func TestUnresponsiveCounterIsRedialed(t *testing.T) {
 	ln := testsupport.Listen(t)
 	first := true
 	go func() {
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -40,7 +40,7 @@
 
 // Guards endpoints against work that nobody waits for: the connection for a request comes
 // up just after its client has disconnected, and nothing is written to it.
-func TestClientDisconnectsDuringTheDial(t *testing.T) {
+func TestClientDisconnectsDuringDial(t *testing.T) {
 	for _, class := range []string{"lookup", "merge"} {
 		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 		h := startNode(t, testConfig(t), endpoint.Addr)
@@ -68,7 +68,7 @@
 
 // Guards endpoints against work that nobody waits for: the counter's response admits a
 // request that waited for it, and its client has disconnected.
-func TestClientDisconnectsDuringACounterCall(t *testing.T) {
+func TestClientDisconnectsDuringCounterCall(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 	calls, answer := make(chan string, 8), make(chan struct{})
 	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
@@ -124,7 +124,7 @@
 
 // Guards endpoints against work that nobody waits for: an attempt ends in a way that calls
 // for a retry, and its client has disconnected.
-func TestClientDisconnectsBeforeARetry(t *testing.T) {
+func TestClientDisconnectsBeforeRetry(t *testing.T) {
 	release := make(chan struct{})
 	h, requests := startNodeWithoutCancel(t, release)
 	outcomes := make(chan policy.Outcome, 8)
@@ -229,7 +229,7 @@
 
 // Guards endpoints against work that nobody waits for: the policy has started an attempt, on
 // an idle connection, and before it is written the client is seen to have disconnected.
-func TestClientDisconnectsBeforeAnAttemptIsWritten(t *testing.T) {
+func TestClientDisconnectsBeforeAttemptIsWritten(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 		cfg := testConfig(t)
@@ -290,7 +290,7 @@
 }
 
 // Guards endpoints against half a request: the client disconnects while it sends the body.
-func TestClientDisconnectsWithinABody(t *testing.T) {
+func TestClientDisconnectsDuringBody(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	c := h.dial()
@@ -305,7 +305,7 @@
 
 // Guards endpoints against work that nobody waits for: when the client disconnects, the
 // attempt is canceled by closing its connection.
-func TestClientDisconnects(t *testing.T) {
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	closed := make(chan struct{})
 	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		c.SetReadDeadline(time.Now().Add(testsupport.MaxWait))
@@ -325,7 +325,7 @@
 
 // Guards against a response that no endpoint gave: a client that half-closes its connection counts as
 // disconnected, and reads the end of the connection and nothing else.
-func TestClientHalfCloses(t *testing.T) {
+func TestHalfCloseCountsAsDisconnect(t *testing.T) {
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
 	endpoint := testsupport.StartFakeEndpoint(t, func(net.Conn, *http.Request, []byte) bool {
--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -60,7 +60,7 @@
 // Guards the list of endpoints: the full list first, then watches from its version, changes
 // applied, entries missing from a full list gone, and a connection that breaks does not lose
 // what is known.
-func TestDiscovery(t *testing.T) {
+func TestEndpointListFollowsDiscovery(t *testing.T) {
 	entry := func(id, state string) string {
 		return fmt.Sprintf(`{"instanceId":%q,"hostPort":"127.0.0.%d:9","zone":"b","lifecycle":%q,"weight":1,"startedAtMs":0}`,
 			id, id[0], state)
@@ -197,7 +197,7 @@
 // calls, ask for what they missed instead of the full list, and after failed calls wait so
 // long that all of them together call no more than the service serves, and no longer than
 // leaves each of them time until what it misses counts as notified.
-func TestFleetSpreadsItsCallsToDiscovery(t *testing.T) {
+func TestPollsAreSpreadAcrossFleet(t *testing.T) {
 	uris := make(chan string, 1024)
 	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		uris <- req.RequestURI
@@ -235,7 +235,7 @@
 // as notified from the first moment, so the first call comes before any wait, and the waits
 // after failed calls stay well within the drain grace, for which an endpoint that drains may
 // get requests.
-func TestWatchCallsAtOnce(t *testing.T) {
+func TestWatchStartsWithoutDelay(t *testing.T) {
 	for _, grace := range []time.Duration{0, 150 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second} {
 		calls := make(chan string, 64)
 		service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
--- a/internal/edge/handler_test.go
+++ b/internal/edge/handler_test.go
@@ -135,7 +135,7 @@
 }
 
 // Guards bodies of the largest size in both directions.
-func TestLargeBody(t *testing.T) {
+func TestLargestBodyIsForwarded(t *testing.T) {
 	body := bytes.Repeat([]byte("z"), frontend.MaxBodyBytes)
 	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, _ *http.Request, got []byte) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(got), got)
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -48,7 +48,7 @@
 
 // Guards the order of eviction on a whole node: half a request proves nothing of its
 // connection, a served request does.
-func TestServedRequestProvesItsConnection(t *testing.T) {
+func TestOnlyServedRequestProvesConnection(t *testing.T) {
 	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
 	testsupport.Eventually(t, "the end of the connections before", func() bool { return h.node.clients.Stats().Open == 0 })
 	c := h.dial()
--- a/internal/edge/node_test.go
+++ b/internal/edge/node_test.go
@@ -16,7 +16,7 @@
 
 // Guards against a node that goes on receiving requests after its policy has panicked and
 // never answers them: it ends with an error instead.
-func TestPolicyPanics(t *testing.T) {
+func TestPolicyPanicEndsNode(t *testing.T) {
 	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
 	h.node.mu.Lock()
 	h.node.gateway = panickingGateway{}
--- a/internal/edge/readahead_test.go
+++ b/internal/edge/readahead_test.go
@@ -23,7 +23,7 @@
 
 // Guards what a client sends while its request is in flight: it is kept in its order, up
 // to a bound and to what the memory budget allows, and served once its turn comes.
-func TestBytesReadAheadAreKept(t *testing.T) {
+func TestReadAheadBytesAreServedInOrder(t *testing.T) {
 	for name, memory := range map[string]int64{"memory for all": 1 << 20, "little memory": 2 * frontend.ReadAheadChunkBytes} {
 		t.Run(name, func(t *testing.T) { testBytesReadAhead(t, memory) })
 	}
@@ -92,7 +92,7 @@
 
 // Guards a begun request that was read ahead when the shutdown begins: its connection is not
 // idle, and the request is served.
-func TestShutdownServesBytesReadAhead(t *testing.T) {
+func TestShutdownServesReadAheadRequest(t *testing.T) {
 	release := make(chan struct{})
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	h := startNode(t, testConfig(t), endpoint.Addr)
--- a/internal/edge/request_test.go
+++ b/internal/edge/request_test.go
@@ -82,7 +82,7 @@
 
 // Guards a rejection by the policy: it is answered at once, with Retry-After, and no
 // attempt is started.
-func TestRejected(t *testing.T) {
+func TestPolicyRejectsRequest(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 	cfg := testConfig(t)
 	cfg.Settings.Plans[1].HardLimitRate, cfg.Settings.Plans[1].HardLimitBurst = 0.001, 0.001
@@ -98,7 +98,7 @@
 
 // Guards against running a request twice: after a reset one that is not idempotent may have
 // run, so it is neither retried nor rejected; an idempotent one is retried elsewhere.
-func TestConnectionReset(t *testing.T) {
+func TestConnectionResetRetriesIdempotentOnly(t *testing.T) {
 	reset := func(c net.Conn, _ *http.Request, _ []byte) bool { return false }
 	a, b := testsupport.StartFakeEndpoint(t, reset), testsupport.StartFakeEndpoint(t, reset)
 	h := startNode(t, testConfig(t), a.Addr, b.Addr)
--- a/internal/edge/shutdown_test.go
+++ b/internal/edge/shutdown_test.go
@@ -15,7 +15,7 @@
 
 // Guards the requests that are open when the process is about to be killed: they get a whole
 // final answer, and the node ends by itself with nothing left open.
-func TestPendingRequestsFailBeforeTheKill(t *testing.T) {
+func TestPendingRequestsAreAnsweredBeforeKill(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, func(net.Conn, *http.Request, []byte) bool { return true }) // never answers
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	h.node.phases.answerTimeout = 50 * time.Millisecond // long before the request's own time is up
@@ -82,7 +82,7 @@
 
 // Guards a request of which the first byte has been read on a kept connection when the
 // shutdown begins: the connection is not idle any more, and the request is served.
-func TestShutdownServesRequestBegun(t *testing.T) {
+func TestShutdownServesStartedRequest(t *testing.T) {
 	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
 	h.node.phases.readDuration, h.node.phases.answerTimeout = testsupport.MaxWait, testsupport.MaxWait
 	c := h.dial()
