--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -11,30 +11,30 @@
 	"swiftpitch/internal/upstream"
 )
 
-// attemptDeadlineMargin is how long before a request's deadline its attempts are given
-// up, so that the policy can still answer.
+// attemptDeadlineMargin is how long before the request's deadline an attempt times out at
+// the latest, which leaves the policy time to answer the client.
 const attemptDeadlineMargin = 15 * time.Millisecond
 
-// attempt is one attempt of a request at one endpoint. The node's lock guards it; its
-// goroutine reads without the lock only what is set before it starts (request, number,
-// endpoint, addr).
+// attempt is one attempt of a request at one endpoint. Node.mu guards it; the attempt's
+// goroutine reads without the lock only the fields that are set before it starts: request,
+// number, endpoint and addr.
 type attempt struct {
 	request     *request
-	number      int // from 0, over all attempts of the request
+	number      int // index into request.attempts
 	endpointID  string
-	endpoint    *upstream.Endpoint // nil: not listed
-	addr        string             // of endpoint when the attempt started
+	endpoint    *upstream.Endpoint // nil: discovery does not list it
+	addr        string             // address of endpoint when the attempt started
 	startedAt   time.Time
-	timer       *time.Timer        // ends the attempt at its timeout
-	conn        *upstream.Conn     // while the attempt owns one
-	cancelDial  context.CancelFunc // nil: it has no connection to dial
+	timer       *time.Timer        // ends the attempt at its timeout; nil: it ended at once
+	conn        *upstream.Conn     // nil: the attempt owns none
+	cancelDial  context.CancelFunc // nil: no connection is dialed
 	ended       bool
-	neverRan    bool    // ended with proof that the endpoint did not run it
-	actualUnits float64 // quota units that the request really took; 0: not reported
+	neverRan    bool    // the outcome proves that the endpoint did not run the request
+	actualUnits float64 // quota units that the request took by the endpoint's response; 0: not reported
 	loadReport  policy.LoadReport
 }
 
-// newAttempt adds an attempt to a request.
+// newAttempt adds an attempt at an endpoint to a request.
 func (r *request) newAttempt(endpointID string, now time.Time) *attempt {
 	a := &attempt{request: r, number: len(r.attempts), endpointID: endpointID, startedAt: now}
 	r.attempts = append(r.attempts, a)
@@ -42,7 +42,7 @@
 	return a
 }
 
-// abandon stops waiting for an attempt: it ends its timer, dial and connection.
+// abandon stops the attempt's timer, cancels its dial and closes its connection.
 func (a *attempt) abandon() {
 	if a.timer != nil {
 		a.timer.Stop()
@@ -51,12 +51,12 @@
 		a.cancelDial()
 	}
 	if a.conn != nil {
-		a.conn.Close() // the attempt's goroutine evicts it
+		a.conn.Close() // the attempt's goroutine evicts it from the pool
 	}
 }
 
-// startAttempt starts an attempt, or ends it at once where it may not start or no
-// connection is to be had. The lock is held.
+// startAttempt starts an attempt, or ends it at once if it may not start or the pool has
+// no room for a connection. The caller holds n.mu.
 func (n *Node) startAttempt(action policy.StartAttempt) {
 	now := time.Now()
 	r := n.requests[action.RequestID]
@@ -87,8 +87,9 @@
 	n.workers.Go(func() { n.runAttempt(ctx, a, conn, text) })
 }
 
-// attemptTimeout returns how long an attempt may take that starts now: until the margin
-// before the request's deadline, or less if the policy sets a timeout above 0.
+// attemptTimeout returns the timeout of an attempt that starts now: the time until
+// attemptDeadlineMargin before the request's deadline, or policyTimeout if that is shorter
+// and not 0.
 func (r *request) attemptTimeout(policyTimeout time.Duration, now time.Time) time.Duration {
 	timeout := r.deadline.Sub(now) - attemptDeadlineMargin
 	if policyTimeout != 0 {
@@ -97,8 +98,8 @@
 	return timeout
 }
 
-// encode returns the request as it is written to an endpoint, which is told the
-// attempt's timeout. The body is shared by all attempts and not copied.
+// encode returns the text of the request for an endpoint, with the attempt's timeout as the
+// remaining time. The attempts share the body, which is not copied.
 func (r *request) encode(timeout time.Duration) net.Buffers {
 	const lineEnds = "\r\n\r\n"
 	const maxTimeoutDigits = 12
@@ -115,8 +116,8 @@
 
 // withinDedupWindow reports whether a retry with an idempotency key may still be written.
 // Endpoints drop a duplicate only within the dedup window of an earlier attempt that may
-// have run. The policy looks at the window when it chooses the endpoint, but the dial may
-// have taken longer since. It is always true without a key.
+// have run. The policy checks the window when it chooses the endpoint, but the window may end
+// during the dial. Without a key the result is always true.
 func (a *attempt) withinDedupWindow(now time.Time) bool {
 	r := a.request
 	if r.dedupWindow <= 0 {
@@ -130,8 +131,8 @@
 	return true
 }
 
-// runAttempt carries an attempt through on conn, or on a new connection if conn is nil.
-// It runs in the attempt's goroutine, without the lock.
+// runAttempt executes an attempt on conn, or on a new connection if conn is nil. It runs in
+// the attempt's goroutine; the caller does not hold n.mu.
 func (n *Node) runAttempt(ctx context.Context, a *attempt, conn *upstream.Conn, text net.Buffers) {
 	if conn == nil {
 		conn = n.dialForAttempt(ctx, a)
@@ -147,9 +148,8 @@
 	n.handleResponse(a, conn, writtenAt, response)
 }
 
-// dialForAttempt dials a connection for an attempt, in the slot of the pool that is
-// reserved for it. It returns nil if the dial fails or the attempt may no longer be
-// written.
+// dialForAttempt dials a connection for an attempt, for which a slot of the pool is
+// reserved. It returns nil if the dial fails or the attempt may no longer be written.
 func (n *Node) dialForAttempt(ctx context.Context, a *attempt) *upstream.Conn {
 	netConn, err := n.dial(ctx, "tcp", a.addr)
 	n.mu.Lock()
@@ -159,21 +159,21 @@
 		return nil
 	}
 	if !n.claimConn(a, conn) {
-		n.pool.Release(conn) // unused, and good for the next request
+		n.pool.Release(conn) // nothing was written: the next request can use it
 		return nil
 	}
 	return conn
 }
 
-// reuseForAttempt takes an idle connection for an attempt. It returns nil if the attempt
-// has ended or may no longer be written.
+// reuseForAttempt assigns an idle connection to an attempt and returns it. It returns nil if
+// the attempt has ended or may no longer be written.
 func (n *Node) reuseForAttempt(a *attempt, conn *upstream.Conn) *upstream.Conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !a.ended && n.claimConn(a, conn) {
 		return conn
 	}
-	if a.ended { // its end closed the connection
+	if a.ended { // endAttempt has closed the connection
 		n.pool.Evict(conn)
 		return nil
 	}
@@ -182,8 +182,8 @@
 	return nil
 }
 
-// claimConn gives an attempt its connection, just before the first byte is written. It
-// reports false if the attempt may no longer be written. The lock is held.
+// claimConn assigns a connection to an attempt, just before the first byte is written. It
+// reports false if the attempt may no longer be written. The caller holds n.mu.
 func (n *Node) claimConn(a *attempt, conn *upstream.Conn) bool {
 	now := time.Now()
 	n.detectDisconnect(a.request, now)
@@ -197,18 +197,19 @@
 	return true
 }
 
-// endUnwritten ends an attempt of which nothing was written.
+// endUnwritten ends an attempt whose request was not written to any connection.
 func (n *Node) endUnwritten(a *attempt) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if a.request.answered { // no fault of the endpoint's
+	if a.request.answered { // the endpoint is not at fault
 		n.endAttempt(a, policy.NotSent)
 		return
 	}
 	n.endAttempt(a, policy.ConnectFailed)
 }
 
-// handleResponse ends an attempt with its response and gives its connection back.
+// handleResponse ends an attempt with the endpoint's response and returns its connection to
+// the pool.
 func (n *Node) handleResponse(a *attempt, conn *upstream.Conn, writtenAt time.Time, response upstream.Response) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -233,13 +234,15 @@
 	n.endAttempt(a, response.Outcome)
 }
 
-// plausibleUnits reports whether a request can take that many quota units.
+// plausibleUnits reports whether an endpoint's figure for the quota units of a request is
+// within the largest that the settings allow.
 func (n *Node) plausibleUnits(units float64) bool {
 	maxUnits := n.cfg.Settings.Service.MaxRequestUnits
 	return maxUnits <= 0 || units <= maxUnits
 }
 
-// endAttempt gives an attempt its one outcome and notifies the policy. The lock is held.
+// endAttempt sets the outcome of an attempt that has not ended, and notifies the policy. The
+// caller holds n.mu.
 func (n *Node) endAttempt(a *attempt, outcome policy.Outcome) {
 	if a.ended {
 		return
--- a/internal/edge/counter.go
+++ b/internal/edge/counter.go
@@ -5,12 +5,12 @@
 	"swiftpitch/internal/policy"
 )
 
-// counterTimeoutFactor is how many of the settings' counter timeouts a call has: a response
-// that comes late is as true, and the policy holds no request for longer than one.
+// counterTimeoutFactor times the configured counter timeout is the time that a call may take.
+// The total in a late response is still valid, and the policy makes no request wait for longer
+// than one counter timeout.
 const counterTimeoutFactor = 4
 
-// newCounterClient returns the client of the counter service at address. The node's lock
-// guards it.
+// newCounterClient returns a client of the counter service at address. Node.mu guards it.
 func (n *Node) newCounterClient(address string) *counterclient.Client {
 	return counterclient.New(address, counterclient.Options{
 		Context:     n.ctx,
@@ -22,7 +22,8 @@
 	})
 }
 
-// addToCounter begins a call to the counter. The lock is held.
+// addToCounter starts a call to the counter. Without a counter the call fails at once. The
+// caller holds n.mu.
 func (n *Node) addToCounter(addition policy.AddToCounter) {
 	if n.counter == nil {
 		n.dispatch(policy.CounterReplied{Key: addition.Key, Outcome: policy.ConnectFailed})
--- a/internal/edge/discovery.go
+++ b/internal/edge/discovery.go
@@ -4,8 +4,8 @@
 	"swiftpitch/internal/discovery"
 )
 
-// newDiscoveryClient returns the client that follows the list of endpoints. The node's lock
-// guards its address.
+// newDiscoveryClient returns a client that watches discovery and passes each list of endpoints
+// to applyList. Node.mu guards its address.
 func (n *Node) newDiscoveryClient(address string) *discovery.Client {
 	return discovery.New(address, discovery.Options{
 		Lock:   &n.mu,
@@ -17,9 +17,10 @@
 	})
 }
 
-// ChangeAddresses moves the node to new addresses of discovery and the counter. Responses
-// that the previous ones still owe count. An empty counter address leaves that one as it
-// is. It may be called from any goroutine.
+// ChangeAddresses sets the addresses of discovery and the counter for all further calls, as
+// when the configuration is reloaded. The call to discovery in progress is canceled. Responses
+// of the previous counter to earlier calls are still used. An empty counterAddress leaves the
+// counter's address unchanged. It may be called from any goroutine.
 func (n *Node) ChangeAddresses(discoveryAddress, counterAddress string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
