--- a/internal/edge/attempt_test.go
+++ b/internal/edge/attempt_test.go
@@ -16,15 +16,15 @@
 	"swiftpitch/internal/upstream"
 )
 
-// holdDials notifies of each dial to an endpoint that starts. Those that are to be held
+// blockDials notifies of each dial to an endpoint that starts. Those that are to be held
 // succeed only once release is closed, whatever the dial timeout.
-func (h *harness) holdDials(held func() bool) (started <-chan struct{}, release chan<- struct{}) {
+func (h *harness) blockDials(shouldBlock func() bool) (started <-chan struct{}, release chan<- struct{}) {
 	dialing, released := make(chan struct{}, 8), make(chan struct{})
 	h.node.mu.Lock()
 	defer h.node.mu.Unlock()
 	h.node.dial = func(_ context.Context, network, addr string) (net.Conn, error) {
 		dialing <- struct{}{}
-		if held() {
+		if shouldBlock() {
 			<-released
 		}
 		return net.Dial(network, addr)
@@ -38,7 +38,7 @@
 func TestDrainGraceEndsDuringDial(t *testing.T) {
 	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
-	started, release := h.holdDials(func() bool { return true })
+	started, release := h.blockDials(func() bool { return true })
 	c := h.dial()
 	io.WriteString(c, clientRequest("merge", "00000000000000aa"))
 	<-started
@@ -62,7 +62,7 @@
 	fault := testsupport.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 	a, b := testsupport.StartFakeServer(t, fault), testsupport.StartFakeServer(t, fault)
 	h := startNode(t, testConfig(t), a.Addr, b.Addr)
-	started, release := h.holdDials(func() bool { return len(append(a.Requests(), b.Requests()...)) > 0 })
+	started, release := h.blockDials(func() bool { return len(append(a.Requests(), b.Requests()...)) > 0 })
 	c := h.dial()
 	io.WriteString(c, clientRequest("save", "00000000000000aa"))
 	<-started
@@ -81,10 +81,10 @@
 	}
 }
 
-// TestLostConnectionIsNotUnresponsive guards endpoints against being taken for
+// TestEndpointUsedAgainAfterLostConnection guards endpoints against being taken for
 // unresponsive: one that broke a connection and then had nothing to do for long gets
 // requests again while the other is busy.
-func TestLostConnectionIsNotUnresponsive(t *testing.T) {
+func TestEndpointUsedAgainAfterLostConnection(t *testing.T) {
 	var broken atomic.Bool
 	release := make(chan struct{})
 	defer close(release)
@@ -113,10 +113,10 @@
 	testsupport.Eventually(t, "a request for the endpoint that broke a connection", func() bool { return len(a.Requests()) > 41 })
 }
 
-// TestThirdConcurrentRequest guards requests against being rejected for a queue that does
+// TestThirdConcurrentRequestIsForwarded guards requests against being rejected for a queue that does
 // not exist: nothing is known yet of an endpoint's speed, and it gets a third request
 // beside two.
-func TestThirdConcurrentRequest(t *testing.T) {
+func TestThirdConcurrentRequestIsForwarded(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	endpoint := testsupport.StartFakeServer(t, testsupport.RespondAfter(release, testsupport.RespondOK))
--- a/internal/edge/connreuse_test.go
+++ b/internal/edge/connreuse_test.go
@@ -21,9 +21,9 @@
 	"swiftpitch/internal/upstream"
 )
 
-// TestStaleConnection guards non-idempotent requests against stale connections: one that
+// TestStaleConnectionIsNotReused guards non-idempotent requests against stale connections: one that
 // the endpoint has closed while idle is not written to, which would end as a reset.
-func TestStaleConnection(t *testing.T) {
+func TestStaleConnectionIsNotReused(t *testing.T) {
 	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		testsupport.RespondOK(c, req, body)
 		return false // closes the connection without announcing it
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestKeepAlive checks that connections to endpoints are kept alive and used again
+// TestConnectionIsReused checks that connections to endpoints are kept alive and used again
 // rather than opened for each attempt.
-func TestKeepAlive(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	ports := make(chan string, 8)
 	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		ports <- c.RemoteAddr().String()
@@ -73,7 +73,7 @@
 func TestLateDuplicateResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := testConfig(t)
-		cfg.Known.Instances = []discovery.Instance{{ID: "s-0", HostPort: "endpoint:1", Zone: "a", Lifecycle: "SERVING", Weight: 1}}
+		cfg.KnownEndpoints.Instances = []discovery.Instance{{ID: "s-0", HostPort: "endpoint:1", Zone: "a", Lifecycle: "SERVING", Weight: 1}}
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/edge/counter_test.go
+++ b/internal/edge/counter_test.go
@@ -31,7 +31,7 @@
 func startCounterNode(t *testing.T, address string, timeout time.Duration) *Node {
 	t.Helper()
 	cfg := testConfig(t)
-	cfg.Counter = address
+	cfg.CounterAddress = address
 	cfg.Settings.Accounting.CounterTimeout = timeout
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -65,7 +65,7 @@
 }
 
 // Guards the form of a call and the order of pipelined responses.
-func TestCounterCalls(t *testing.T) {
+func TestCounterCallsArePipelined(t *testing.T) {
 	uris := make(chan string, 8)
 	total := 0
 	counter := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
@@ -95,7 +95,7 @@
 
 // Guards the totals: a response that comes after its call's timeout is dropped, and is not
 // taken for the response to the next call.
-func TestCounterLateResponse(t *testing.T) {
+func TestCounterLateResponseIsDropped(t *testing.T) {
 	release := make(chan struct{})
 	calls := 0
 	counter := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
@@ -122,7 +122,7 @@
 
 // Guards the totals of an overloaded counter: a response that takes longer than the
 // settings' counter timeout, but not several of them, still counts.
-func TestCounterOverloaded(t *testing.T) {
+func TestCounterSlowResponseCounts(t *testing.T) {
 	const timeout = 250 * time.Millisecond
 	counter := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		time.Sleep(timeout * 3 / 2)
@@ -159,7 +159,7 @@
 
 // Guards the calls after a counter's machine has vanished: a connection that owes responses
 // for long is closed, and the next calls go over a new one.
-func TestUnresponsiveCounter(t *testing.T) {
+func TestUnresponsiveCounterIsRedialed(t *testing.T) {
 	ln := testsupport.Listen(t)
 	first := true
 	go func() {
@@ -201,19 +201,19 @@
 // still delivers the responses that it owes, and is closed after the last of them.
 func TestCounterChangesAddress(t *testing.T) {
 	release, closed := make(chan struct{}), make(chan struct{})
-	old := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	previous := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		<-release
 		testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n111")(c, req, nil)
 		io.Copy(io.Discard, c)
 		close(closed)
 		return false
 	})
-	fresh := testsupport.StartFakeServer(t, testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n222"))
-	n := startCounterNode(t, old.Addr, testsupport.MaxWait)
+	replacement := testsupport.StartFakeServer(t, testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n222"))
+	n := startCounterNode(t, previous.Addr, testsupport.MaxWait)
 	replies := recordCounter(n)
 	n.testAdd(1, 1)
-	testsupport.Eventually(t, "the first call", func() bool { return len(old.Requests()) == 1 })
-	n.ChangeAddresses("", fresh.Addr)
+	testsupport.Eventually(t, "the first call", func() bool { return len(previous.Requests()) == 1 })
+	n.ChangeAddresses("", replacement.Addr)
 	n.testAdd(2, 1)
 	if got, want := replies.next(t), (policy.CounterReplied{Key: 2, Total: 222}); got != want {
 		t.Errorf("call to the new address: %+v", got)
--- a/internal/edge/handler_test.go
+++ b/internal/edge/handler_test.go
@@ -108,7 +108,7 @@
 	release := make(chan struct{})
 	endpoint := testsupport.StartFakeServer(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	cfg := testConfig(t)
-	cfg.Memory = frontend.MaxBodyBytes * 10 // one body of the largest size
+	cfg.MemoryBytes = frontend.MaxBodyBytes * 10 // one body of the largest size
 	h := startNode(t, cfg, endpoint.Addr)
 	first := h.dial()
 	long := []string{"Content-Length: 10", fmt.Sprintf("Content-Length: %d", frontend.MaxBodyBytes), "0123456789", strings.Repeat("z", frontend.MaxBodyBytes)}
@@ -135,7 +135,7 @@
 }
 
 // Guards bodies of the largest size in both directions.
-func TestLargeBody(t *testing.T) {
+func TestLargestBodyIsForwarded(t *testing.T) {
 	body := bytes.Repeat([]byte("z"), frontend.MaxBodyBytes)
 	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, _ *http.Request, got []byte) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(got), got)
