--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -42,7 +42,7 @@
 	cfg.Seed = seed
 	cfg.Settings.Gateways = gateways
 	cfg.Settings.DiscoveryMode = "ask"
-	cfg.Settings.Rules.SubscriptionTimeout = 10 * time.Second
+	cfg.Settings.EndpointRules.SubscriptionTimeout = 10 * time.Second
 	cfg.KnownEndpoints.Instances = oneServingInstance()
 	return cfg
 }
@@ -244,7 +244,7 @@
 		})
 		cfg := testConfig(t)
 		cfg.DiscoveryAddress = service.Addr
-		cfg.Settings.Rules.DrainGrace = grace
+		cfg.Settings.EndpointRules.DrainGrace = grace
 		cfg.KnownEndpoints.Instances = []discovery.Instance{{ID: "s-0", Lifecycle: discovery.Serving}}
 		n := newUnstartedNode(t, cfg)
 		const failures = 8
