--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -40,11 +40,11 @@
 
 // Guards endpoints against work that nobody waits for: the connection for a request comes
 // up just after its client has disconnected, and nothing is written to it.
-func TestClientDisconnectsDuringTheDial(t *testing.T) {
+func TestClientDisconnectsDuringDial(t *testing.T) {
 	for _, class := range []string{"lookup", "merge"} {
-		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+		endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 		h := startNode(t, testConfig(t), endpoint.Addr)
-		started, release := h.holdDials(func() bool { return true })
+		started, release := h.blockDials(func() bool { return true })
 		c := h.dial()
 		io.WriteString(c, clientRequest(class, "00000000000000aa"))
 		<-started
@@ -68,18 +68,18 @@
 
 // Guards endpoints against work that nobody waits for: the counter's response admits a
 // request that waited for it, and its client has disconnected.
-func TestClientDisconnectsDuringACounterCall(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+func TestClientDisconnectsDuringCounterCall(t *testing.T) {
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	calls, answer := make(chan string, 8), make(chan struct{})
-	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	counter := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		calls <- req.URL.Query().Get("delta")
 		<-answer
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2")
 		return true
 	})
 	cfg := testConfig(t)
-	cfg.Counter, cfg.Settings.Service.CounterEnabled = counter.Addr, true
-	cfg.Settings.Service.CounterTimeout = testsupport.MaxWait // less than half of the request's time, or it would not wait
+	cfg.CounterAddress, cfg.Settings.Accounting.CounterEnabled = counter.Addr, true
+	cfg.Settings.Accounting.CounterTimeout = testsupport.MaxWait // less than half of the request's time, or it would not wait
 	cfg.Settings.Classes[0].Deadline = 3 * testsupport.MaxWait
 	plan := &cfg.Settings.Plans[0]
 	plan.Rate, plan.Burst, plan.OverQuotaCost = 2, 4, 1 // so little that requests are admitted by the shared bucket
@@ -115,7 +115,7 @@
 func startNodeWithoutCancel(t *testing.T, release <-chan struct{}) (h *harness, requests func() []string) {
 	t.Helper()
 	respond := testsupport.RespondAfter(release, testsupport.RespondWith(neverRanResponse))
-	a, b := testsupport.StartFakeEndpoint(t, respond), testsupport.StartFakeEndpoint(t, respond)
+	a, b := testsupport.StartFakeServer(t, respond), testsupport.StartFakeServer(t, respond)
 	cfg := testConfig(t)
 	cfg.Settings.Limits.AllowCancel = false
 	h = startNode(t, cfg, a.Addr, b.Addr)
@@ -124,7 +124,7 @@
 
 // Guards endpoints against work that nobody waits for: an attempt ends in a way that calls
 // for a retry, and its client has disconnected.
-func TestClientDisconnectsBeforeARetry(t *testing.T) {
+func TestClientDisconnectsBeforeRetry(t *testing.T) {
 	release := make(chan struct{})
 	h, requests := startNodeWithoutCancel(t, release)
 	outcomes := make(chan policy.Outcome, 8)
@@ -200,9 +200,9 @@
 	}
 }
 
-// waitForReusableConn waits until an endpoint has one idle connection, which may take the
+// awaitReusableConn waits until an endpoint has one idle connection, which may take the
 // next request.
-func (h *harness) waitForReusableConn(endpointID string) *upstream.Endpoint {
+func (h *harness) awaitReusableConn(endpointID string) *upstream.Endpoint {
 	h.t.Helper()
 	h.node.mu.Lock()
 	endpoint := h.node.pool.Endpoint(endpointID)
@@ -229,14 +229,14 @@
 
 // Guards endpoints against work that nobody waits for: the policy has started an attempt, on
 // an idle connection, and before it is written the client is seen to have disconnected.
-func TestClientDisconnectsBeforeAnAttemptIsWritten(t *testing.T) {
+func TestClientDisconnectsBeforeAttemptIsWritten(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+		endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 		cfg := testConfig(t)
 		cfg.Settings.Limits.AllowCancel = cancel
 		h := startNode(t, cfg, endpoint.Addr)
 		h.dial().roundTrip(clientRequest("lookup", "00000000000000aa"))
-		upstreamEndpoint := h.waitForReusableConn("s-0")
+		upstreamEndpoint := h.awaitReusableConn("s-0")
 		h.node.mu.Lock()
 		q := h.beginRequest("00000000000000bb", nil)
 		if q.attemptsInFlight != 1 || len(upstreamEndpoint.IdleConns()) != 0 {
@@ -263,7 +263,7 @@
 	client, accepted := connect(h.t, frontend.NewListener(testsupport.Listen(h.t), tracker))
 	ctx := tracker.ConnContext(context.Background(), accepted)
 	conn := frontend.ConnFromContext(ctx)
-	if got := socket.Peek(conn.Conn); got != socket.Quiet {
+	if got := socket.Peek(conn.Conn); got != socket.NoData {
 		h.t.Errorf("before the client disconnects: %d", got)
 	}
 	client.Close()
@@ -275,7 +275,7 @@
 // client has closed its connection, and who reads that has not got round to it when the
 // attempt of a request that has waited would be written, or when the request is received.
 func TestUnreadDisconnect(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	_, conn := h.disconnectedClient()
 	h.node.mu.Lock()
@@ -290,8 +290,8 @@
 }
 
 // Guards endpoints against half a request: the client disconnects while it sends the body.
-func TestClientDisconnectsWithinABody(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+func TestClientDisconnectsDuringBody(t *testing.T) {
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	c := h.dial()
 	text := clientRequest("merge", "00000000000000aa")
@@ -305,9 +305,9 @@
 
 // Guards endpoints against work that nobody waits for: when the client disconnects, the
 // attempt is canceled by closing its connection.
-func TestClientDisconnects(t *testing.T) {
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	closed := make(chan struct{})
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		c.SetReadDeadline(time.Now().Add(testsupport.MaxWait))
 		if _, err := c.Read(make([]byte, 1)); err == io.EOF {
 			close(closed)
@@ -325,10 +325,10 @@
 
 // Guards against a response that no endpoint gave: a client that half-closes its connection counts as
 // disconnected, and reads the end of the connection and nothing else.
-func TestClientHalfCloses(t *testing.T) {
+func TestHalfCloseCountsAsDisconnect(t *testing.T) {
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
-	endpoint := testsupport.StartFakeEndpoint(t, func(net.Conn, *http.Request, []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(net.Conn, *http.Request, []byte) bool {
 		<-release
 		return false
 	})
--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -29,8 +29,8 @@
 	return true
 }
 
-// knownInstances is the list of one endpoint that serves.
-func knownInstances() []discovery.Instance {
+// oneServingInstance is the list of one endpoint that serves.
+func oneServingInstance() []discovery.Instance {
 	return []discovery.Instance{{ID: "s-0", HostPort: "127.0.0.1:9", Lifecycle: discovery.Serving}}
 }
 
@@ -38,17 +38,17 @@
 func newPollingConfig(t *testing.T, address string, seed uint64, gateways int) Config {
 	t.Helper()
 	cfg := testConfig(t)
-	cfg.Discovery = address
+	cfg.DiscoveryAddress = address
 	cfg.Seed = seed
 	cfg.Settings.Gateways = gateways
 	cfg.Settings.DiscoveryMode = "ask"
-	cfg.Settings.Rules.SubscriptionTimeout = 10 * time.Second
-	cfg.Known.Instances = knownInstances()
+	cfg.Settings.EndpointRules.SubscriptionTimeout = 10 * time.Second
+	cfg.KnownEndpoints.Instances = oneServingInstance()
 	return cfg
 }
 
-// newIdleNode returns a node that is not started.
-func newIdleNode(t *testing.T, cfg Config) *Node {
+// newUnstartedNode returns a node that is not started.
+func newUnstartedNode(t *testing.T, cfg Config) *Node {
 	t.Helper()
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -60,21 +60,21 @@
 // Guards the list of endpoints: the full list first, then watches from its version, changes
 // applied, entries missing from a full list gone, and a connection that breaks does not lose
 // what is known.
-func TestDiscovery(t *testing.T) {
+func TestEndpointListFollowsDiscovery(t *testing.T) {
 	entry := func(id, state string) string {
 		return fmt.Sprintf(`{"instanceId":%q,"hostPort":"127.0.0.%d:9","zone":"b","lifecycle":%q,"weight":1,"startedAtMs":0}`,
 			id, id[0], state)
 	}
 	lists := make(chan string)
 	uris := make(chan string, 16)
-	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		uris <- req.RequestURI
 		list, ok := <-lists
 		return ok && list != "" && respondList(c, list)
 	})
 	t.Cleanup(func() { close(lists) })
 	cfg := testConfig(t)
-	cfg.Discovery = service.Addr
+	cfg.DiscoveryAddress = service.Addr
 	h := startNode(t, cfg)
 	expectServing := func(want string) {
 		t.Helper()
@@ -128,13 +128,13 @@
 	}
 	before, after := make(chan string, 16), make(chan string, 16)
 	cfg := testConfig(t)
-	cfg.Discovery = testsupport.StartFakeEndpoint(t, list("old", before)).Addr
+	cfg.DiscoveryAddress = testsupport.StartFakeServer(t, list("old", before)).Addr
 	h := startNode(t, cfg)
 	if first, watch := <-before, <-before; first != "/api/targets" || !strings.Contains(watch, "index=7") {
 		t.Fatalf("calls %q, %q", first, watch)
 	}
 	changedAt := time.Now()
-	h.node.ChangeAddresses(testsupport.StartFakeEndpoint(t, list("new", after)).Addr, "")
+	h.node.ChangeAddresses(testsupport.StartFakeServer(t, list("new", after)).Addr, "")
 	if first, watch := <-after, <-after; first != "/api/targets" || !strings.Contains(watch, "index=7") {
 		t.Errorf("calls at the new address %q, %q", first, watch)
 	}
@@ -151,7 +151,7 @@
 // Guards against forwarding to a process under another one's id: a new endpoint at the
 // address of one still listed takes its place, and gets connections of its own.
 func TestEndpointTakesOverAddress(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	h.dial().roundTrip(clientRequest("merge", "00000000000000aa"))
 	h.node.applyList(discovery.List{Instances: []discovery.Instance{{ID: "s-new", HostPort: endpoint.Addr, Zone: "a", Lifecycle: "SERVING"}}},
@@ -166,40 +166,40 @@
 	}
 }
 
-// pollRecorder stands in for the pauses between the calls of a node that polls discovery:
+// pauseRecorder stands in for the pauses between the calls of a node that polls discovery:
 // it records them without waiting, and stops the node after a number of failed calls.
-type pollRecorder struct {
-	t        *testing.T
-	node     *Node
-	failures int
-	waits    []time.Duration
-	pausedAt time.Time // when the last pause ended and the call after it began
+type pauseRecorder struct {
+	t            *testing.T
+	node         *Node
+	failures     int
+	pauses       []time.Duration
+	pauseEndedAt time.Time // when the last pause ended and the call after it began
 }
 
-func (p *pollRecorder) pause(_ context.Context, wait time.Duration) {
-	if len(p.waits) > 0 {
+func (p *pauseRecorder) pause(_ context.Context, wait time.Duration) {
+	if len(p.pauses) > 0 {
 		minInterval := time.Duration((1 - discovery.PollIntervalJitter) * float64(discovery.MaxPollInterval))
-		if interval := wait + time.Since(p.pausedAt); interval < minInterval {
+		if interval := wait + time.Since(p.pauseEndedAt); interval < minInterval {
 			p.t.Errorf("a call %v after the one before: the fleet calls too often", interval)
 		}
 		if wait+discovery.PollResponseAllowance >= discovery.NotificationDeadline {
 			p.t.Errorf("a wait of %v: what discovery had counts as notified after %v", wait, discovery.NotificationDeadline)
 		}
 	}
-	p.waits = append(p.waits, wait)
-	if len(p.waits) > p.failures {
+	p.pauses = append(p.pauses, wait)
+	if len(p.pauses) > p.failures {
 		p.node.stop()
 	}
-	p.pausedAt = time.Now()
+	p.pauseEndedAt = time.Now()
 }
 
 // Guards discovery against a fleet in step: nodes that start together spread their first
 // calls, ask for what they missed instead of the full list, and after failed calls wait so
 // long that all of them together call no more than the service serves, and no longer than
 // leaves each of them time until what it misses counts as notified.
-func TestFleetSpreadsItsCallsToDiscovery(t *testing.T) {
+func TestPollsAreSpreadAcrossFleet(t *testing.T) {
 	uris := make(chan string, 1024)
-	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		uris <- req.RequestURI
 		return respondUnavailable(c)
 	})
@@ -208,12 +208,12 @@
 	quarters := [4]int{}                     // of the window, in which nodes make their first call
 	for seed := range uint64(fleet) {
 		cfg := newPollingConfig(t, service.Addr, seed, fleet)
-		cfg.Known.Generation = 41
-		n := newIdleNode(t, cfg)
-		recorder := &pollRecorder{t: t, node: n, failures: failures, pausedAt: time.Now()}
+		cfg.KnownEndpoints.Generation = 41
+		n := newUnstartedNode(t, cfg)
+		recorder := &pauseRecorder{t: t, node: n, failures: failures, pauseEndedAt: time.Now()}
 		n.discovery.Options.Pause = recorder.pause
 		n.discovery.Run(n.ctx)
-		waits := recorder.waits
+		waits := recorder.pauses
 		if len(waits) != failures+1 || waits[0] < 0 || waits[0] >= window {
 			t.Fatalf("waits %v, want %d and the first within %v", waits, failures+1, window)
 		}
@@ -235,18 +235,18 @@
 // as notified from the first moment, so the first call comes before any wait, and the waits
 // after failed calls stay well within the drain grace, for which an endpoint that drains may
 // get requests.
-func TestWatchCallsAtOnce(t *testing.T) {
+func TestWatchStartsWithoutDelay(t *testing.T) {
 	for _, grace := range []time.Duration{0, 150 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second} {
 		calls := make(chan string, 64)
-		service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+		service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 			calls <- req.RequestURI
 			return respondUnavailable(c)
 		})
 		cfg := testConfig(t)
-		cfg.Discovery = service.Addr
-		cfg.Settings.Rules.DrainGrace = grace
-		cfg.Known.Instances = []discovery.Instance{{ID: "s-0", Lifecycle: discovery.Serving}}
-		n := newIdleNode(t, cfg)
+		cfg.DiscoveryAddress = service.Addr
+		cfg.Settings.EndpointRules.DrainGrace = grace
+		cfg.KnownEndpoints.Instances = []discovery.Instance{{ID: "s-0", Lifecycle: discovery.Serving}}
+		n := newUnstartedNode(t, cfg)
 		const failures = 8
 		waits := 0
 		n.discovery.Options.Pause = func(_ context.Context, wait time.Duration) {
@@ -269,7 +269,7 @@
 // with what it missed, long before that counts as notified.
 func TestSilentWatchIsRenewed(t *testing.T) {
 	timing := discovery.NewTiming(testConfig(t).Settings)
-	renewal := timing.LongPollWait + timing.SilenceMargin + timing.MinBackoff
+	renewal := timing.LongPollWait + timing.ResponseMargin + timing.MinBackoff
 	if deadline := 6 * time.Second; renewal >= deadline {
 		t.Errorf("a silent watch is renewed after %v, what it misses counts as notified after %v", renewal, deadline)
 	}
@@ -277,7 +277,7 @@
 	silent := make(chan struct{})
 	t.Cleanup(func() { close(silent) })
 	var calls atomic.Int32
-	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		ports <- c.RemoteAddr().String()
 		switch calls.Add(1) {
 		case 1: // what is known is up to date
@@ -290,12 +290,12 @@
 			`[{"instanceId":"s-0","hostPort":"127.0.0.1:9","lifecycle":"DRAINING"}]}`)
 	})
 	cfg := testConfig(t)
-	cfg.Discovery = service.Addr
-	cfg.Known.Generation = 7
-	cfg.Known.Instances = knownInstances()
-	n := newIdleNode(t, cfg)
+	cfg.DiscoveryAddress = service.Addr
+	cfg.KnownEndpoints.Generation = 7
+	cfg.KnownEndpoints.Instances = oneServingInstance()
+	n := newUnstartedNode(t, cfg)
 	n.discovery.Options.Timing.LongPollWait = 10 * time.Millisecond
-	n.discovery.Options.Timing.SilenceMargin = 10 * time.Millisecond
+	n.discovery.Options.Timing.ResponseMargin = 10 * time.Millisecond
 	n.start()
 	defer n.close()
 	if _, first, second := <-ports, <-ports, <-ports; first == second {
@@ -316,7 +316,7 @@
 	const fleet = 12
 	holds := map[int]bool{}
 	for seed := range uint64(fleet) {
-		for _, ms := range heldPolls(t, seed) {
+		for _, ms := range longPollWaits(t, seed) {
 			holds[ms] = true
 		}
 	}
@@ -325,15 +325,15 @@
 	}
 }
 
-// heldPolls runs a node whose third call to discovery falls silent, and returns the
+// longPollWaits runs a node whose third call to discovery falls silent, and returns the
 // long-poll waits of its second and third call in milliseconds.
-func heldPolls(t *testing.T, seed uint64) [2]int {
+func longPollWaits(t *testing.T, seed uint64) [2]int {
 	t.Helper()
 	const hold = 100 * time.Millisecond
 	var calls atomic.Int32
 	silent, holds := make(chan struct{}), make(chan int, 64)
 	defer close(silent)
-	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		var ms int
 		fmt.Sscan(req.URL.Query().Get("wait"), &ms)
 		holds <- ms
@@ -344,9 +344,9 @@
 		respondList(c, `{"generation":8,"reset":false,"instances":[]}`)
 		return calls.Load() < 3
 	})
-	n := newIdleNode(t, newPollingConfig(t, service.Addr, seed, 300))
+	n := newUnstartedNode(t, newPollingConfig(t, service.Addr, seed, 300))
 	n.discovery.Options.Timing.LongPollWait = hold
-	n.discovery.Options.Timing.SilenceMargin = hold
+	n.discovery.Options.Timing.ResponseMargin = hold
 	pauses := 0
 	n.discovery.Options.Pause = func(_ context.Context, wait time.Duration) {
 		pauses++
@@ -379,7 +379,7 @@
 	for _, mode := range []string{"push", "ask"} {
 		var up atomic.Bool
 		calls := make(chan string, 1024)
-		service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+		service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 			if up.Load() {
 				return respondList(c, `{"generation":8,"reset":true,"instances":`+
 					`[{"instanceId":"s-0","hostPort":"127.0.0.1:9","lifecycle":"SERVING"}]}`)
@@ -388,7 +388,7 @@
 			return respondUnavailable(c)
 		})
 		cfg := testConfig(t)
-		cfg.Discovery = service.Addr
+		cfg.DiscoveryAddress = service.Addr
 		cfg.Settings.DiscoveryMode = mode
 		h := startNode(t, cfg)
 		if uri := testsupport.Receive(t, "a call", calls); uri != "/api/targets" {
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -17,8 +17,8 @@
 // others out; the connection that has been idle for longest is evicted.
 func TestClientLimit(t *testing.T) {
 	cfg := testConfig(t)
-	cfg.Sockets = 22 // 6 more than are reserved, half of them for clients
-	h := startNode(t, cfg, testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
+	cfg.MaxDescriptors = 22 // 6 more than are reserved, half of them for clients
+	h := startNode(t, cfg, testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
 	if limit := h.node.clients.Stats().MaxConns; limit != 3 {
 		t.Fatalf("the limit is %d connections, want 3", limit)
 	}
@@ -48,21 +48,21 @@
 
 // Guards the order of eviction on a whole node: half a request proves nothing of its
 // connection, a served request does.
-func TestServedRequestProvesItsConnection(t *testing.T) {
-	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
+func TestOnlyServedRequestProvesConnection(t *testing.T) {
+	h := startNode(t, testConfig(t), testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
 	testsupport.Eventually(t, "the end of the connections before", func() bool { return h.node.clients.Stats().Open == 0 })
 	c := h.dial()
 	text := clientRequest("lookup", "00000000000000aa")
 	io.WriteString(c, text[:len(text)/2])
 	testsupport.Eventually(t, "the connection", func() bool { return h.node.clients.Stats().Open == 1 })
-	if proven := h.node.clients.Stats().Proven; proven != 0 {
-		t.Errorf("%d connections are proven by half a request", proven)
+	if proven := h.node.clients.Stats().SentRequest; proven != 0 {
+		t.Errorf("%d connections have sent a whole request after half a request, want 0", proven)
 	}
 	if resp, _ := c.roundTrip(text[len(text)/2:]); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
-	if proven := h.node.clients.Stats().Proven; proven != 1 {
-		t.Errorf("%d connections are proven by a served request, want 1", proven)
+	if proven := h.node.clients.Stats().SentRequest; proven != 1 {
+		t.Errorf("%d connections have sent a whole request after a served request, want 1", proven)
 	}
 }
 
@@ -70,7 +70,7 @@
 func TestReservedDescriptors(t *testing.T) {
 	for _, sockets := range []int{24, 40, 64, 99, 256, 1024} {
 		cfg := testConfig(t)
-		cfg.Sockets = sockets
+		cfg.MaxDescriptors = sockets
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/edge/shutdown_test.go
+++ b/internal/edge/shutdown_test.go
@@ -15,11 +15,11 @@
 
 // Guards the requests that are open when the process is about to be killed: they get a whole
 // final answer, and the node ends by itself with nothing left open.
-func TestPendingRequestsFailBeforeTheKill(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, func(net.Conn, *http.Request, []byte) bool { return true }) // never answers
+func TestPendingRequestsAreAnsweredBeforeKill(t *testing.T) {
+	endpoint := testsupport.StartFakeServer(t, func(net.Conn, *http.Request, []byte) bool { return true }) // never answers
 	h := startNode(t, testConfig(t), endpoint.Addr)
-	h.node.phases.answer = 50 * time.Millisecond // long before the request's own time is up
-	h.node.phases.write = testsupport.MaxWait
+	h.node.phases.answerTimeout = 50 * time.Millisecond // long before the request's own time is up
+	h.node.phases.writeDuration = testsupport.MaxWait
 	c := h.dial()
 	io.WriteString(c, clientRequest("merge", "00000000000000aa"))
 	testsupport.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
@@ -43,11 +43,11 @@
 	for _, longest := range []time.Duration{300 * time.Millisecond, 1100 * time.Millisecond, 2500 * time.Millisecond,
 		4 * time.Second, 30 * time.Second} {
 		kill := min(longest, 3*time.Second) + 700*time.Millisecond
-		if got := newShutdownPhases(longest).answer; got >= kill || got < kill-150*time.Millisecond {
+		if got := newShutdownPhases(longest).answerTimeout; got >= kill || got < kill-150*time.Millisecond {
 			t.Errorf("deadline %v: drained for %v, killed after %v", longest, got, kill)
 		}
-		if last := acceptDuration + longest; longest <= 3*time.Second && newShutdownPhases(longest).answer < last {
-			t.Errorf("deadline %v: drained for %v, requests received by then may run until %v", longest, newShutdownPhases(longest).answer, last)
+		if last := acceptDuration + longest; longest <= 3*time.Second && newShutdownPhases(longest).answerTimeout < last {
+			t.Errorf("deadline %v: drained for %v, requests received by then may run until %v", longest, newShutdownPhases(longest).answerTimeout, last)
 		}
 	}
 }
@@ -55,8 +55,8 @@
 // Guards a request that comes in two parts with the end of the listener between them:
 // it is read to its end and served.
 func TestShutdownReadsPartialRequests(t *testing.T) {
-	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
-	h.node.phases.read, h.node.phases.answer = testsupport.MaxWait, testsupport.MaxWait
+	h := startNode(t, testConfig(t), testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
+	h.node.phases.readDuration, h.node.phases.answerTimeout = testsupport.MaxWait, testsupport.MaxWait
 	text := clientRequest("merge", "00000000000000aa")
 	silent, half, body := h.dial(), h.dial(), h.dial() // nothing, half a head and half a body before the stop
 	io.WriteString(half, text[:40])
@@ -82,9 +82,9 @@
 
 // Guards a request of which the first byte has been read on a kept connection when the
 // shutdown begins: the connection is not idle any more, and the request is served.
-func TestShutdownServesRequestBegun(t *testing.T) {
-	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
-	h.node.phases.read, h.node.phases.answer = testsupport.MaxWait, testsupport.MaxWait
+func TestShutdownServesStartedRequest(t *testing.T) {
+	h := startNode(t, testConfig(t), testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
+	h.node.phases.readDuration, h.node.phases.answerTimeout = testsupport.MaxWait, testsupport.MaxWait
 	c := h.dial()
 	c.roundTrip(clientRequest("lookup", "00000000000000aa"))
 	idle := func() int { return h.node.clients.Stats().Idle }
@@ -102,7 +102,7 @@
 // Guards against half a request when this side closes a connection that carries one: what was
 // read before the close is dropped. That nothing more is read is tested in internal/frontend.
 func TestEvictionDropsRequest(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	tracker := frontend.NewTracker(1, frontend.NewMemoryBudget(0))
 	listener := frontend.NewListener(testsupport.Listen(t), tracker)
@@ -113,8 +113,8 @@
 	if _, err := io.ReadFull(conn, make([]byte, len(text))); err != nil { // the library has read it
 		t.Fatal(err)
 	}
-	_, newcomer := connect(t, listener)
-	tracker.ConnContext(context.Background(), newcomer) // evicts conn, which is not yet busy
+	_, second := connect(t, listener)
+	tracker.ConnContext(context.Background(), second) // evicts conn, which is not yet busy
 	h.expectAborted(ctx)
 	if got := endpoint.Requests(); len(got) > 0 {
 		t.Errorf("endpoint got %q", got)
@@ -131,14 +131,14 @@
 // ends with no error.
 func TestGracefulShutdown(t *testing.T) {
 	release := make(chan struct{})
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		if req.Header.Get("X-Trace-Id") == "00000000000000aa" {
 			<-release
 		}
 		return testsupport.RespondOK(c, req, body)
 	})
 	h := startNode(t, testConfig(t), endpoint.Addr)
-	h.node.phases.accept = testsupport.MaxWait / 10
+	h.node.phases.acceptDuration = testsupport.MaxWait / 10
 	idle, busy := h.dial(), h.dial()
 	idle.roundTrip(clientRequest("lookup", "00000000000000bb"))
 	io.WriteString(busy, clientRequest("merge", "00000000000000aa"))
@@ -162,7 +162,7 @@
 // Guards the end of a graceful shutdown against connections on which nothing was ever sent:
 // they do not delay it by the five seconds that the library waits.
 func TestShutdownWithSilentConnection(t *testing.T) {
-	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
+	h := startNode(t, testConfig(t), testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
 	c := h.dial()
 	testsupport.Eventually(t, "the silent connection", func() bool { return h.node.clients.Stats().Open > 0 })
 	h.stop()
