--- a/cmd/edgenode/main.go
+++ b/cmd/edgenode/main.go
@@ -36,7 +36,7 @@
 // run serves until a signal ends the node, and reloads its configuration at each hangup.
 func run(hangup <-chan os.Signal) error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	path := os.Getenv(config.PathVariable)
+	path := os.Getenv(config.FileVariable)
 	cfg, limits, err := load(path)
 	if err != nil {
 		return err
@@ -59,21 +59,21 @@
 		return edge.Config{}, config.ProcessLimits{}, err
 	}
 	var known discovery.List
-	if len(file.Known) > 0 {
-		if err := json.Unmarshal(file.Known, &known); err != nil {
+	if len(file.CachedList) > 0 {
+		if err := json.Unmarshal(file.CachedList, &known); err != nil {
 			err = &config.KeyError{Key: "known", Err: err}
 			return edge.Config{}, config.ProcessLimits{}, fmt.Errorf("configuration: %w", err)
 		}
 	}
 	return edge.Config{
-		Listen:    file.Listen,
-		Discovery: file.Discovery,
-		Counter:   file.Counter,
-		Seed:      file.Seed,
-		Sockets:   file.ProcessLimits.Sockets,
-		Memory:    file.ProcessLimits.MemoryBytes(),
-		Known:     known,
-		Settings:  file.Settings,
+		ListenAddress:    file.Listen,
+		DiscoveryAddress: file.Discovery,
+		CounterAddress:   file.Counter,
+		Seed:             file.Seed,
+		MaxDescriptors:   file.ProcessLimits.Sockets,
+		MemoryBytes:      file.ProcessLimits.MemoryBytes(),
+		KnownEndpoints:   known,
+		Settings:         file.Settings,
 	}, file.ProcessLimits, nil
 }
 
@@ -91,14 +91,14 @@
 			log.Error("kept the old configuration", "err", err)
 			continue
 		}
-		node.ChangeAddresses(cfg.Discovery, cfg.Counter)
-		log.Info("took the new configuration", "discovery", cfg.Discovery, "counter", cfg.Counter)
+		node.ChangeAddresses(cfg.DiscoveryAddress, cfg.CounterAddress)
+		log.Info("took the new configuration", "discovery", cfg.DiscoveryAddress, "counter", cfg.CounterAddress)
 	}
 }
 
-// heapShare is the part of the memory limit that the runtime is told to stay below. Over half
+// heapLimitFraction is the part of the memory limit that the runtime is told to stay below. Over half
 // of it is priced, and the kernel's part and the stacks come on top of the heap.
-const heapShare = 0.4
+const heapLimitFraction = 0.4
 
 // applyRuntimeLimits tells the runtime the limits of the process. The garbage collector keeps
 // its usual pace: run more seldom it lets the process grow through a long day, and growth is
@@ -108,6 +108,6 @@
 		runtime.GOMAXPROCS(int(math.Ceil(limits.Cores)))
 	}
 	if limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(limits.MemoryBytes())))
+		debug.SetMemoryLimit(int64(heapLimitFraction * float64(limits.MemoryBytes())))
 	}
 }
--- a/internal/edge/attempt_test.go
+++ b/internal/edge/attempt_test.go
@@ -16,15 +16,15 @@
 	"swiftpitch/internal/upstream"
 )
 
-// holdDials notifies of each dial to an endpoint that starts. Those that are to be held
+// blockDials notifies of each dial to an endpoint that starts. Those that are to be held
 // succeed only once release is closed, whatever the dial timeout.
-func (h *harness) holdDials(held func() bool) (started <-chan struct{}, release chan<- struct{}) {
+func (h *harness) blockDials(shouldBlock func() bool) (started <-chan struct{}, release chan<- struct{}) {
 	dialing, released := make(chan struct{}, 8), make(chan struct{})
 	h.node.mu.Lock()
 	defer h.node.mu.Unlock()
 	h.node.dial = func(_ context.Context, network, addr string) (net.Conn, error) {
 		dialing <- struct{}{}
-		if held() {
+		if shouldBlock() {
 			<-released
 		}
 		return net.Dial(network, addr)
@@ -36,14 +36,14 @@
 // the endpoint began to drain, and the grace is over, just before the first byte would
 // be written.
 func TestDrainGraceEndsDuringDial(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
-	started, release := h.holdDials(func() bool { return true })
+	started, release := h.blockDials(func() bool { return true })
 	c := h.dial()
 	io.WriteString(c, clientRequest("merge", "00000000000000aa"))
 	<-started
 	h.node.mu.Lock()
-	drainedAt := time.Now().Add(-h.node.cfg.Settings.Rules.DrainGrace)
+	drainedAt := time.Now().Add(-h.node.cfg.Settings.EndpointRules.DrainGrace)
 	h.node.pool.UpdateEndpoint(upstream.EndpointUpdate{ID: "s-0", Addr: endpoint.Addr, State: policy.Draining}, drainedAt)
 	h.node.mu.Unlock()
 	close(release)
@@ -60,9 +60,9 @@
 // is over just before the retry would be written.
 func TestDedupWindowEndsDuringDial(t *testing.T) {
 	fault := testsupport.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-	a, b := testsupport.StartFakeEndpoint(t, fault), testsupport.StartFakeEndpoint(t, fault)
+	a, b := testsupport.StartFakeServer(t, fault), testsupport.StartFakeServer(t, fault)
 	h := startNode(t, testConfig(t), a.Addr, b.Addr)
-	started, release := h.holdDials(func() bool { return len(append(a.Requests(), b.Requests()...)) > 0 })
+	started, release := h.blockDials(func() bool { return len(append(a.Requests(), b.Requests()...)) > 0 })
 	c := h.dial()
 	io.WriteString(c, clientRequest("save", "00000000000000aa"))
 	<-started
@@ -81,17 +81,17 @@
 	}
 }
 
-// TestLostConnectionIsNotUnresponsive guards endpoints against being taken for
+// TestEndpointUsedAgainAfterLostConnection guards endpoints against being taken for
 // unresponsive: one that broke a connection and then had nothing to do for long gets
 // requests again while the other is busy.
-func TestLostConnectionIsNotUnresponsive(t *testing.T) {
+func TestEndpointUsedAgainAfterLostConnection(t *testing.T) {
 	var broken atomic.Bool
 	release := make(chan struct{})
 	defer close(release)
-	a := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	a := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		return !broken.Load() && testsupport.RespondOK(c, req, body)
 	})
-	b := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
+	b := testsupport.StartFakeServer(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	h := startNode(t, testConfig(t), a.Addr)
 	c := h.dial()
 	for i := range 40 { // the usual latency is learnt from these
@@ -113,13 +113,13 @@
 	testsupport.Eventually(t, "a request for the endpoint that broke a connection", func() bool { return len(a.Requests()) > 41 })
 }
 
-// TestThirdConcurrentRequest guards requests against being rejected for a queue that does
+// TestThirdConcurrentRequestIsForwarded guards requests against being rejected for a queue that does
 // not exist: nothing is known yet of an endpoint's speed, and it gets a third request
 // beside two.
-func TestThirdConcurrentRequest(t *testing.T) {
+func TestThirdConcurrentRequestIsForwarded(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	for i := range 3 {
 		io.WriteString(h.dial(), clientRequest("merge", fmt.Sprintf("%016x", i+1)))
@@ -145,9 +145,9 @@
 // response reach the policy, ones that can't be read or are not plausible do not.
 func TestActualUnitsReachPolicy(t *testing.T) {
 	for text, want := range map[string]float64{"3": 3, "2.5": 2.5, "-1": 0, "NaN": 0, "1e9": 0, "999999": 0, "": 0} {
-		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondWith("HTTP/1.1 200 OK\r\nApi-Charge: "+text+"\r\nContent-Length: 2\r\n\r\nok"))
+		endpoint := testsupport.StartFakeServer(t, testsupport.RespondWith("HTTP/1.1 200 OK\r\nApi-Charge: "+text+"\r\nContent-Length: 2\r\n\r\nok"))
 		cfg := testConfig(t)
-		cfg.Settings.Service.MaxRequestUnits = 6
+		cfg.Settings.Accounting.MaxRequestUnits = 6
 		h := startNode(t, cfg, endpoint.Addr)
 		recorder := actualUnitsRecorder{policyGateway: h.node.gateway, units: make(chan float64, 8)}
 		h.node.mu.Lock()
--- a/internal/edge/connreuse_test.go
+++ b/internal/edge/connreuse_test.go
@@ -21,10 +21,10 @@
 	"swiftpitch/internal/upstream"
 )
 
-// TestStaleConnection guards non-idempotent requests against stale connections: one that
+// TestStaleConnectionIsNotReused guards non-idempotent requests against stale connections: one that
 // the endpoint has closed while idle is not written to, which would end as a reset.
-func TestStaleConnection(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+func TestStaleConnectionIsNotReused(t *testing.T) {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		testsupport.RespondOK(c, req, body)
 		return false // closes the connection without announcing it
 	})
@@ -39,16 +39,16 @@
 			h.node.mu.Lock()
 			defer h.node.mu.Unlock()
 			idle := h.node.pool.Endpoint("s-0").IdleConns()
-			return len(idle) == 0 || !idle[0].IsQuiet()
+			return len(idle) == 0 || !idle[0].IsReusable()
 		})
 	}
 }
 
-// TestKeepAlive checks that connections to endpoints are kept alive and used again
+// TestConnectionIsReused checks that connections to endpoints are kept alive and used again
 // rather than opened for each attempt.
-func TestKeepAlive(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	ports := make(chan string, 8)
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		ports <- c.RemoteAddr().String()
 		return testsupport.RespondOK(c, req, body)
 	})
@@ -73,7 +73,7 @@
 func TestLateDuplicateResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := testConfig(t)
-		cfg.Known.Instances = []discovery.Instance{{ID: "s-0", HostPort: "endpoint:1", Zone: "a", Lifecycle: "SERVING", Weight: 1}}
+		cfg.KnownEndpoints.Instances = []discovery.Instance{{ID: "s-0", HostPort: "endpoint:1", Zone: "a", Lifecycle: "SERVING", Weight: 1}}
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
@@ -134,7 +134,7 @@
 func TestDuplicateResponseWhileIdle(t *testing.T) {
 	send := make(chan struct{})
 	var seen atomic.Int64
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		testsupport.RespondOK(c, req, body)
 		if seen.Add(1) == 1 {
 			<-send
@@ -155,9 +155,9 @@
 			return len(idle) == 1 && ok(idle[0])
 		}
 	}
-	testsupport.Eventually(t, "the idle connection", firstIdle((*upstream.Conn).IsQuiet))
+	testsupport.Eventually(t, "the idle connection", firstIdle((*upstream.Conn).IsReusable))
 	close(send)
-	testsupport.Eventually(t, "the duplicate", firstIdle(func(conn *upstream.Conn) bool { return !conn.IsQuiet() }))
+	testsupport.Eventually(t, "the duplicate", firstIdle(func(conn *upstream.Conn) bool { return !conn.IsReusable() }))
 	time.Sleep(upstream.ReuseDelay) // the delay alone would now allow the connection
 	for i := 1; i < 3; i++ {
 		if resp, body := c.roundTrip(clientRequest("merge", fmt.Sprintf("%016x", i))); resp.StatusCode != http.StatusOK || body != "hello" {
--- a/internal/edge/readahead_test.go
+++ b/internal/edge/readahead_test.go
@@ -23,7 +23,7 @@
 
 // Guards what a client sends while its request is in flight: it is kept in its order, up
 // to a bound and to what the memory budget allows, and served once its turn comes.
-func TestBytesReadAheadAreKept(t *testing.T) {
+func TestReadAheadBytesAreServedInOrder(t *testing.T) {
 	for name, memory := range map[string]int64{"memory for all": 1 << 20, "little memory": 2 * frontend.ReadAheadChunkBytes} {
 		t.Run(name, func(t *testing.T) { testBytesReadAhead(t, memory) })
 	}
@@ -32,7 +32,7 @@
 // testBytesReadAhead runs the test with so many bytes left of the memory budget.
 func testBytesReadAhead(t *testing.T, memory int64) {
 	release := make(chan struct{})
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		<-release
 		id := req.Header.Get("X-Trace-Id")
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s%s", len(id)+len(body), id, body)
@@ -92,11 +92,11 @@
 
 // Guards a begun request that was read ahead when the shutdown begins: its connection is not
 // idle, and the request is served.
-func TestShutdownServesBytesReadAhead(t *testing.T) {
+func TestShutdownServesReadAheadRequest(t *testing.T) {
 	release := make(chan struct{})
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	h := startNode(t, testConfig(t), endpoint.Addr)
-	h.node.phases.read, h.node.phases.answer = testsupport.MaxWait, testsupport.MaxWait
+	h.node.phases.readDuration, h.node.phases.answerTimeout = testsupport.MaxWait, testsupport.MaxWait
 	c := h.dial()
 	io.WriteString(c, clientRequest("lookup", "00000000000000aa"))
 	testsupport.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
--- a/internal/frontend/terms.go
+++ b/internal/frontend/terms.go
@@ -10,41 +10,41 @@
 
 // requestTerms is the content of an Api-Terms header.
 type requestTerms struct {
-	units  term // that the request counts
-	spread term // gateways through which the tenant's requests come
-	first  term // the first of those gateways; checked and not used
+	units        term // "units": quota units that the request takes
+	gateways     term // "spread": number of gateways that receive the tenant's requests
+	firstGateway term // "first": index of the first of those gateways; validated but not used
 }
 
-// term is one figure of an Api-Terms header.
+// term is one number in an Api-Terms header.
 type term struct {
 	value   float64
 	present bool
 }
 
-// named returns the figure of a name; nil: it is not known.
-func (t *requestTerms) named(name string) *term {
+// byName returns the term with that name in the header, or nil if the name is unknown.
+func (t *requestTerms) byName(name string) *term {
 	switch name {
 	case "units":
 		return &t.units
 	case "spread":
-		return &t.spread
+		return &t.gateways
 	case "first":
-		return &t.first
+		return &t.firstGateway
 	}
 	return nil
 }
 
-// parseTerms reads an Api-Terms header of the form units=2,spread=3,first=1. Figures of
-// other names are skipped.
+// parseTerms parses an Api-Terms header of the form units=2,spread=3,first=1. Numbers with
+// other names are ignored.
 func (p *Parser) parseTerms(text string) (requestTerms, error) {
 	var terms requestTerms
 	for part := range strings.SplitSeq(text, ",") {
-		name, figure, _ := strings.Cut(strings.TrimSpace(part), "=")
-		value, ok := decimal.Parse(figure)
+		name, valueText, _ := strings.Cut(strings.TrimSpace(part), "=")
+		value, ok := decimal.Parse(valueText)
 		if !ok {
 			return terms, termsError("%q is no number", name)
 		}
-		term := terms.named(name)
+		term := terms.byName(name)
 		if term == nil {
 			continue
 		}
@@ -57,16 +57,16 @@
 		term.value = value
 		term.present = true
 	}
-	if !terms.units.present || !terms.spread.present || !terms.first.present {
+	if !terms.units.present || !terms.gateways.present || !terms.firstGateway.present {
 		return terms, termsError("units, spread and first are wanted")
 	}
 	return terms, nil
 }
 
-// inRange reports whether a figure is one that a request may name.
+// inRange reports whether a request may set the named term to value.
 func (p *Parser) inRange(name string, value float64) bool {
 	gateways := float64(p.settings.Gateways)
-	maxUnits := p.settings.Service.MaxRequestUnits // 0: any number
+	maxUnits := p.settings.Accounting.MaxRequestUnits // 0: no limit
 	switch name {
 	case "units":
 		return value != 0 && (maxUnits <= 0 || value <= maxUnits)
@@ -78,6 +78,7 @@
 	return true
 }
 
+// termsError returns a [*HeaderError] for the Api-Terms header.
 func termsError(format string, args ...any) error {
 	return &HeaderError{Header: termsHeader, Problem: fmt.Sprintf(format, args...)}
 }
--- a/internal/policy/bucketreading.go
+++ b/internal/policy/bucketreading.go
@@ -40,7 +40,7 @@
 
 // bucketPhase returns the offset of a tenant's epochs. It depends on the tenant's key only,
 // so that all gateways agree on it and the changes of epoch spread over time.
-func (t *tenantState) bucketPhase() Time { return Time(mix(t.key) % uint64(bucketEpochLength)) }
+func (t *tenantState) bucketPhase() Time { return Time(splitMix64(t.key) % uint64(bucketEpochLength)) }
 
 // bucketEpoch returns the index of the tenant's epoch at a time.
 func (t *tenantState) bucketEpoch(now Time) int64 {
@@ -54,7 +54,7 @@
 
 // bucketKey returns the counter key of the tenant's bucket in an epoch.
 func (t *tenantState) bucketKey(epoch int64) uint64 {
-	return mix(t.key^mix(^uint64(epoch))) >> 1
+	return splitMix64(t.key^splitMix64(^uint64(epoch))) >> 1
 }
 
 // applyBucketTotal records a tenant's bucket by its total at the counter, without the units
@@ -97,7 +97,7 @@
 func (g *Gateway) settleBucketCharge(r *request, actualUnits float64) {
 	t := r.tenant
 	correction := actualUnits - r.units
-	if !r.chargedToBucket || math.Abs(correction) < minCorrection || !g.counterBudget.unrestricted() {
+	if !r.chargedToSharedBucket || math.Abs(correction) < minCorrection || !g.counterBudget.unrestricted() {
 		return
 	}
 	t.sharedBucket.take(correction)
--- a/internal/policy/countercalls.go
+++ b/internal/policy/countercalls.go
@@ -95,7 +95,7 @@
 		return
 	}
 	// A late reply indicates a queue at the counter, which delays the calls of all gateways to no use.
-	isLate := g.now-call.startedAt > time.Duration(lateReplyShare*float64(g.set.CounterTimeout))
+	isLate := g.now-call.startedAt > time.Duration(lateReplyShare*float64(g.settings.CounterTimeout))
 	if reply.Outcome != Succeeded || isLate {
 		g.counterBudget.decrease()
 	} else {
--- a/internal/policy/incarnation.go
+++ b/internal/policy/incarnation.go
@@ -24,7 +24,7 @@
 // that of a time.
 func (r *incarnationRecord) key(at Time, epochsBefore int64) uint64 {
 	epoch := int64(at/recordEpochLength) - epochsBefore
-	return mix(^mix(uint64(r.gatewayIndex))^mix(uint64(epoch))) >> 1
+	return splitMix64(^splitMix64(uint64(r.gatewayIndex))^splitMix64(uint64(epoch))) >> 1
 }
 
 // requestIncarnationRecord starts to load the record, unless that was done before.
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -16,7 +16,7 @@
 
 // intervalPhase returns the offset of a tenant's interval ends. It depends on the tenant's
 // key only, so that all gateways agree on it and the tenants' counter calls spread over time.
-func (t *tenantState) intervalPhase() Time { return Time(mix(t.key) % uint64(t.interval)) }
+func (t *tenantState) intervalPhase() Time { return Time(splitMix64(t.key) % uint64(t.interval)) }
 
 // sinceFirstInterval returns the time since the start of the tenant's interval 0, which
 // began intervalPhase after the clock's epoch.
@@ -30,7 +30,7 @@
 // intervalKey returns the counter key for the fleet's total of units in an interval, and
 // how long the counter keeps that total.
 func (t *tenantState) intervalKey(index int64) (key uint64, ttl time.Duration) {
-	return mix(t.key^mix(uint64(index))) >> 1, min(2*t.interval+totalTTLMargin, maxTotalTTL)
+	return splitMix64(t.key^splitMix64(uint64(index))) >> 1, min(2*t.interval+totalTTLMargin, maxTotalTTL)
 }
 
 // startIntervalTimer starts the timer for the end of the running interval. The clocks of
@@ -88,7 +88,7 @@
 	if r.unreported > 0 {
 		g.addToCounter(r.key, r.unreported, r.ttl, r.onAddReply)
 	}
-	g.startTimer(g.set.CounterTimeout, r.readTotal)
+	g.startTimer(g.settings.CounterTimeout, r.readTotal)
 }
 
 // onAddReply handles the reply to the addition.
