--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -9,14 +9,15 @@
 	"swiftpitch/internal/policy"
 )
 
-// The tests of this file count across many gateways what none of them can count alone.
+// The tests of this file check properties of a whole fleet, such as quotas, which no gateway
+// can check alone.
 
 const (
 	fleetGateways  = 80
 	fleetEndpoints = 60
 )
 
-// newFleet starts n gateways that differ in index and seed, with the same list of endpoints.
+// newFleet starts n gateways with the same list of endpoints, each with an index and a seed of its own.
 func newFleet(t *testing.T, n int, set policy.Settings, endpoints []policy.Endpoint) []*harness {
 	t.Helper()
 	var gateways []*harness
@@ -29,7 +30,7 @@
 	return gateways
 }
 
-// newEndpointList returns a list of endpoints of which the first have just started.
+// newEndpointList returns a list of endpoints, of which the first warmingUp ones have started at now.
 func newEndpointList(now time.Duration, warmingUp int) (list []policy.Endpoint) {
 	for i := range fleetEndpoints {
 		endpoint := policy.Endpoint{ID: fmt.Sprint("s", i), Weight: 1}
@@ -45,7 +46,7 @@
 	for _, warmingUp := range []int{3, 22, 36} {
 		t.Run(fmt.Sprint(warmingUp, " warming up"), func(t *testing.T) {
 			set := settings()
-			set.SlowStartCapacity, set.SlowStartDuration = 0.4, time.Hour // these stay at 0.4
+			set.SlowStartCapacity, set.SlowStartDuration = 0.4, time.Hour // the capacity stays at 0.4 for the whole test
 			attempts := map[string]float64{}
 			total := 0.0
 			for _, h := range newFleet(t, fleetGateways, set, newEndpointList(time.Minute, warmingUp)) {
@@ -68,24 +69,24 @@
 			}
 			want := float64(warmingUp) * set.SlowStartCapacity / capacity
 			if toWarmingUp/total < 0.75*want || toWarmingUp/total > 1.25*want {
-				t.Errorf("%.3f of the work went to endpoints warming up, which have %.3f of the capacity", toWarmingUp/total, want)
+				t.Errorf("endpoints warming up got %.3f of all attempts, want within 25%% of their %.3f of the capacity", toWarmingUp/total, want)
 			}
 			if maxShare > set.OverloadMultiple {
-				t.Errorf("an endpoint warming up got %.2f times its part of the mean work, %v overload it", maxShare, set.OverloadMultiple)
+				t.Errorf("an endpoint warming up got %.2f times its share of the mean load, want at most %v, which overloads it", maxShare, set.OverloadMultiple)
 			}
 		})
 	}
 }
 
-// queueingCounter is a counter service that serves calls one after another, so that they queue.
+// queueingCounter is a counter service that serves one call at a time, so that calls queue.
 type queueingCounter struct {
 	fakeCounter
 	serviceTime time.Duration // for one call
-	idleAt      time.Duration // when all calls so far are done
+	idleAt      time.Duration // time at which all calls so far are done
 	calls       int
 }
 
-// enqueue queues a call and returns when its reply comes.
+// enqueue queues a call and returns the time of its reply.
 func (c *queueingCounter) enqueue(now time.Duration) time.Duration {
 	c.calls++
 	c.idleAt = max(c.idleAt, now) + c.serviceTime
@@ -99,26 +100,26 @@
 	reply   policy.CounterReplied
 }
 
-// tenantRate is how many requests a second a tenant offers, by its number and the time since the start.
-type tenantRate func(tenant int, since time.Duration) float64
+// tenantRate returns the requests per second that a tenant offers, by its index and the time since the start.
+type tenantRate func(tenant int, elapsed time.Duration) float64
 
-// tenantTraffic offers requests of one unit of plan 0 to gateways, each tenant's at its rate, and
-// carries their calls to a counter at which they queue.
+// tenantTraffic simulates tenants of plan 0 that offer requests of one unit to gateways, each at its
+// rate. It passes the gateways' counter calls to a queueing counter.
 type tenantTraffic struct {
 	gateways []*harness
 	counter  *queueingCounter
 	rng      *rand.Rand
 	tenants  int
 	rate     tenantRate
-	observe  func(tenant int, now time.Duration, forwarded bool) // each request as it is offered or forwarded; may be nil
+	observe  func(tenant int, now time.Duration, forwarded bool) // called when a request is offered or forwarded; may be nil
 
-	offered   []float64 // by tenant
-	forwarded []float64
+	offered   []float64 // requests by tenant
+	forwarded []float64 // requests by tenant
 	replies   []pendingReply
-	tenantOf  map[string]int // of a request
+	tenantOf  map[string]int // tenant by request id
 }
 
-// run offers requests for a while. What it offered and what was forwarded are counted from zero.
+// run offers requests for a duration. It resets the counts of offered and forwarded requests first.
 func (tr *tenantTraffic) run(d time.Duration) {
 	tr.offered, tr.forwarded = make([]float64, tr.tenants), make([]float64, tr.tenants)
 	tr.replies = nil
@@ -141,7 +142,7 @@
 	}
 }
 
-// offer hands a tenant's request to a random gateway.
+// offer sends a request of a tenant to a random gateway.
 func (tr *tenantTraffic) offer(tenant int, now time.Duration) {
 	tr.offered[tenant]++
 	if tr.observe != nil {
@@ -154,7 +155,7 @@
 		TenantGateways: len(tr.gateways)}))
 }
 
-// handle ends the attempts that a gateway starts and hands its calls to the counter.
+// handle carries out a gateway's actions: it ends attempts with success and enqueues counter calls.
 func (tr *tenantTraffic) handle(h *harness, actions []policy.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -173,8 +174,8 @@
 }
 
 func TestFleetUsesAndHoldsQuotaOfTenantsOnManyGateways(t *testing.T) {
-	// Plan 0 has 4 units a second and a burst of 8; 60 gateways see a tenant's request every 20 s each. Half of
-	// the tenants ask for 11 units in one second of four, the others for four times their quota.
+	// Plan 0 has 4 units per second and a burst of 8. A tenant within that rate sends each of the 60 gateways a request
+	// about every 20 s. Half of the tenants send 11 units in one second of four, the others four times their quota.
 	set := settings()
 	set.Plans[0].OverQuotaCost = 1
 	const seconds = 60
@@ -183,11 +184,11 @@
 		counter:  &queueingCounter{fakeCounter: fakeCounter{}, serviceTime: 200 * time.Microsecond},
 		rng:      rand.New(rand.NewPCG(5, 6)),
 		tenants:  20,
-		rate: func(tenant int, since time.Duration) float64 {
+		rate: func(tenant int, elapsed time.Duration) float64 {
 			switch {
 			case tenant%2 == 1:
 				return 16
-			case since%(4*time.Second) < time.Second:
+			case elapsed%(4*time.Second) < time.Second:
 				return 11
 			}
 			return 0
@@ -202,17 +203,17 @@
 			over += units / (4*seconds + 8) / 10
 		}
 	}
-	if within < 0.83 { // chance takes some bursts over the bucket
-		t.Errorf("%.2f of what was offered within the quotas was forwarded", within)
+	if within < 0.83 { // some random bursts exceed the bucket
+		t.Errorf("tenants within their quota: %.2f of the offered units forwarded, want at least 0.83", within)
 	}
 	if over < 0.9 || over > 1.1 {
-		t.Errorf("tenants that ask four times their quota got %.2f times it", over)
+		t.Errorf("tenants at four times their quota: %.2f times the quota forwarded, want 0.9 to 1.1", over)
 	}
 }
 
 func TestFleetKeepsCounterQueueShort(t *testing.T) {
-	// The counter serves a third of what the fleet would call. What waits for it longer than requests are held is
-	// of no use, so the gateways together must call less than it serves.
+	// The counter can serve a third of the calls that the fleet would make. A reply that comes after requests are no
+	// longer held is useless, so the gateways together must make fewer calls than the counter serves.
 	set := settings()
 	set.Plans[0].OverQuotaCost = 1
 	counter := &queueingCounter{fakeCounter: fakeCounter{}, serviceTime: 10 * ms}
@@ -228,20 +229,20 @@
 	before := counter.calls
 	traffic.run(10 * time.Second)
 	if calls := counter.calls - before; calls > 1100 || calls < 300 {
-		t.Errorf("%d calls in 10 s to a counter that serves 1000", calls)
+		t.Errorf("%d calls in 10 s to a counter that serves 1000 in that time, want 300 to 1100", calls)
 	}
 	if wait := counter.idleAt - gateways[0].now; wait > 5*set.CounterTimeout {
-		t.Errorf("its queue is %v long", wait)
+		t.Errorf("wait in the counter's queue is %v, want at most %v", wait, 5*set.CounterTimeout)
 	}
 }
 
-// tokenBucket is a tenant's quota as it truly is: a token bucket that refills at a rate.
+// tokenBucket is the exact token bucket of a tenant's quota.
 type tokenBucket struct {
 	rate, burst, tokens float64
-	at                  time.Duration
+	at                  time.Duration // last refill
 }
 
-// take takes a unit if there is one.
+// take refills the bucket and takes a unit. It reports whether the bucket held one.
 func (b *tokenBucket) take(now time.Duration) bool {
 	b.tokens = min(b.burst, b.tokens+(now-b.at).Seconds()*b.rate)
 	b.at = now
@@ -252,16 +253,16 @@
 	return true
 }
 
-// quotaOracle counts by true token buckets what is offered and what is forwarded within the quotas and
-// over them.
+// quotaOracle counts by exact token buckets the units offered within the quotas, and those forwarded
+// within and over the quotas.
 type quotaOracle struct {
-	offered   []tokenBucket // by tenant, drained by what it offers
-	forwarded []tokenBucket // drained by what is forwarded
+	offered   []tokenBucket // by tenant, charged for each offered request
+	forwarded []tokenBucket // by tenant, charged for each forwarded request
 
 	offeredWithin, forwardedWithin, forwardedOver float64
 }
 
-// newQuotaOracle returns full buckets of plan 0.
+// newQuotaOracle returns an oracle with a full bucket of plan 0 for each tenant.
 func newQuotaOracle(tenants int, now time.Duration) *quotaOracle {
 	q := &quotaOracle{offered: make([]tokenBucket, tenants), forwarded: make([]tokenBucket, tenants)}
 	for i := range tenants {
@@ -282,26 +283,26 @@
 	}
 }
 
-// mixedDemandRate has most tenants ask for a third of the rate of plan 0, some for nearly all, some for more, some in
-// bursts.
-func mixedDemandRate(tenant int, since time.Duration) float64 {
+// mixedDemandRate is a [tenantRate]: most tenants offer a third of the rate of plan 0, some nearly all of it, some
+// more, and some offer bursts.
+func mixedDemandRate(tenant int, elapsed time.Duration) float64 {
 	switch {
 	case tenant%10 == 0:
 		return 3.8
 	case tenant%10 == 1:
 		return 10
-	case tenant%10 < 4 && since%(12*time.Second) < 3*time.Second:
+	case tenant%10 < 4 && elapsed%(12*time.Second) < 3*time.Second:
 		return 14
 	}
 	return 1.3
 }
 
 func TestFleetHoldsQuotasUnderMixedDemand(t *testing.T) {
-	// What the fleet forwards over the quotas costs at most 0.1 of what is offered within them: so it is at most 0.1
-	// more than under any policy that sees the true buckets late. Plan 0 has 4 units a second and a burst of 8.
+	// The fleet may forward over the quotas at most 0.1 of the units offered within them. Its cost is then at most 0.1
+	// above that of any policy that sees the exact buckets with a delay. Plan 0 has 4 units per second and a burst of 8.
 	const seconds, gateways, tenants = 40, 30, 30
-	for _, serviceTime := range []time.Duration{4 * ms, 20 * ms} { // a counter with calls to spare, and one with few
-		t.Run(fmt.Sprint("a call each ", serviceTime), func(t *testing.T) {
+	for _, serviceTime := range []time.Duration{4 * ms, 20 * ms} { // a counter with capacity to spare, and a slow one
+		t.Run(fmt.Sprint("counter service time ", serviceTime), func(t *testing.T) {
 			set := settings()
 			set.Plans[0].OverQuotaCost = 1
 			harnesses := newFleet(t, gateways, set, newEndpointList(0, 0))
@@ -316,10 +317,10 @@
 			}
 			traffic.run(seconds * time.Second)
 			if quotas.forwardedOver > 0.1*quotas.offeredWithin {
-				t.Errorf("%.3f of what is offered within the quotas was forwarded over them", quotas.forwardedOver/quotas.offeredWithin)
+				t.Errorf("units forwarded over the quotas are %.3f of those offered within, want at most 0.1", quotas.forwardedOver/quotas.offeredWithin)
 			}
-			if quotas.forwardedWithin < 0.75*quotas.offeredWithin { // rejecting all costs nothing
-				t.Errorf("%.3f of what is offered within the quotas was forwarded", quotas.forwardedWithin/quotas.offeredWithin)
+			if quotas.forwardedWithin < 0.75*quotas.offeredWithin { // guards against rejecting all, which would pass the check above
+				t.Errorf("units forwarded within the quotas are %.3f of those offered within, want at least 0.75", quotas.forwardedWithin/quotas.offeredWithin)
 			}
 		})
 	}
--- a/internal/policy/hardlimit.go
+++ b/internal/policy/hardlimit.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-const hardLimitMargin = 0.98 // fraction of the hard limit that is shared out; the rest covers rounding
+const distributedHardLimitFraction = 0.98 // fraction of the hard limit that is shared out; the rest covers rounding
 
 // hardLimitShare is this gateway's local share of a tenant's hard limit: a token bucket
 // that needs no counter. The shares of all gateways add up to at most the limit, so that
@@ -30,7 +30,7 @@
 	if sharedBucket {
 		total = max(total-s.plan.Burst, 0)
 	}
-	return total / s.gateways * hardLimitMargin
+	return total / s.gateways * distributedHardLimitFraction
 }
 
 // refillRate returns the units that the share gains per second.
@@ -39,7 +39,7 @@
 	if sharedBucket {
 		total = max(total-s.plan.Rate, 0)
 	}
-	return total / s.gateways * hardLimitMargin
+	return total / s.gateways * distributedHardLimitFraction
 }
 
 // refill adds the units that the share gains in elapsed seconds.
