--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,10 +1,10 @@
-// Package discovery follows the list of endpoints that the discovery service keeps: by a
-// watch at an agent on this machine to which changes are pushed, or by polling one service
-// that is shared by the whole fleet ([config.DiscoveryPolled]). A call is a long poll in
-// both cases.
+// Package discovery keeps the list of endpoints up to date with the discovery service, either
+// by a watch at an agent on this machine to which changes are pushed, or by polling one service
+// that is shared by the whole fleet ([config.DiscoveryPolled]). Both use long polls.
 //
-// [Client.Run] makes one call after another in one goroutine. When to call, for what and
-// with which timeout is decided by the schedule, which knows neither sockets nor a clock.
+// [Client.Run] makes one call after another in the goroutine of its caller. The schedule
+// decides when to call, what to ask for and with which timeout; it uses neither sockets nor a
+// clock.
 package discovery
 
 import (
@@ -17,40 +17,41 @@
 	"swiftpitch/internal/policy"
 )
 
-// Options is what a [Client] takes from its owner.
+// Options configures a [Client].
 type Options struct {
-	Lock   sync.Locker // guards the address of a client
+	Lock   sync.Locker // guards the address of the client
 	Timing Timing
-	Seed   uint64 // of the jitter; nodes of one fleet have different ones
-	// CachedList is the list as it was known before the start; the client asks for what changed
+	Seed   uint64 // of the jitter; must differ between the nodes of a fleet
+	// CachedList is the list that was known before the start; the client asks for what changed
 	// after it. If it has no instances, the client asks for the full list.
 	CachedList List
-	// OnList takes each list that brings news, and whether it is full. It is called from the
-	// goroutine of Run, without Lock.
+	// OnList receives each full list and each incremental update with changes. It is called
+	// from the goroutine of Run, without Lock held.
 	OnList func(List, policy.UpdateScope)
 	Log    *slog.Logger
 
-	// Transport carries the calls; nil: one of the client's own.
+	// Transport carries the calls; if nil, the client creates its own.
 	Transport http.RoundTripper
-	// Pause waits between calls for a duration or until the context ends; nil: by the
-	// clock.
+	// Pause waits for a duration or until the context ends; if nil, the client uses a real
+	// timer.
 	Pause func(context.Context, time.Duration)
 }
 
-// Client follows the list of endpoints at one address of the discovery service at a time.
+// Client keeps the list of endpoints up to date by calls to one address of the discovery
+// service.
 type Client struct {
-	// Options must not change once Run has begun.
+	// Options must not change after Run has started.
 	Options Options
 
-	// What follows is guarded by Options.Lock, the owner's lock.
+	// The following fields are guarded by Options.Lock.
 
 	address        string
-	addressContext context.Context // ends when the address changes; nil: Run has not begun
+	addressContext context.Context // ends when the address changes; nil before Run
 	cancelAddress  context.CancelFunc
 }
 
-// New returns a client of the discovery service at address (host:port). It makes no call
-// before [Client.Run].
+// New returns a client of the discovery service at address (host:port). The client makes no
+// calls before [Client.Run].
 func New(address string, options Options) *Client {
 	if options.Transport == nil {
 		options.Transport = &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}
@@ -85,7 +86,7 @@
 		list, err := fetch(callCtx, client, address, next)
 		if err != nil {
 			c.Options.Log.Debug("call to discovery failed", "err", err)
-			client.CloseIdleConnections() // the next call is made on another connection
+			client.CloseIdleConnections() // so that the next call dials a new connection
 			c.Options.Pause(callCtx, schedule.failed(time.Since(startedAt)))
 			continue
 		}
@@ -94,7 +95,7 @@
 	}
 }
 
-// notify passes a list on, unless it is an incremental update without changes.
+// notify passes a list to OnList, unless it is an incremental update without changes.
 func (c *Client) notify(list List, fullList bool) {
 	switch {
 	case fullList || list.Reset:
@@ -115,9 +116,9 @@
 	return c.addressContext, c.address
 }
 
-// ChangeAddress moves the client to another address of the discovery service: the call or
-// pause in progress ends, and the next call goes there and asks for the full list. The
-// caller holds the lock.
+// ChangeAddress moves the client to another address of the discovery service. It cancels the
+// call or pause in progress; the next call goes to the new address and asks for the full list.
+// The caller must hold Options.Lock.
 func (c *Client) ChangeAddress(address string) {
 	if address == c.address {
 		return
--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -16,15 +16,15 @@
 
 // Error names the address and the status.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("discovery at %s: status %d", e.Address, e.Code)
+	return fmt.Sprintf("discovery at %s: HTTP status %d, want 200", e.Address, e.Code)
 }
 
-// call is what one call to the discovery service asks for and how long it may take.
+// call describes one call to the discovery service.
 type call struct {
-	fullList     bool          // else only what changed after index
+	fullList     bool          // asks for the full list, else for the changes after index
 	index        int64         // version of the known list
-	longPollWait time.Duration // for which the service may hold a call that has nothing to report
-	timeout      time.Duration // after which the call has failed
+	longPollWait time.Duration // how long the service may hold the call while nothing changes
+	timeout      time.Duration // time after which the call fails
 }
 
 // url returns the URL of the call at an address of the discovery service.
@@ -55,7 +55,7 @@
 	}
 	list, err := decodeList(resp.Body)
 	if err != nil {
-		return List{}, fmt.Errorf("reading the list of discovery at %s: %w", address, err)
+		return List{}, fmt.Errorf("reading the endpoint list from discovery at %s: %w", address, err)
 	}
 	return list, nil
 }
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Guards the error of a call that the service rejects: it names the address and the status.
+// Guards that the error of a call that the service rejects names the address and the status.
 func TestFetchErrorNamesAddressAndStatus(t *testing.T) {
 	service := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(service.Close)
@@ -17,11 +17,11 @@
 	_, err := fetch(t.Context(), service.Client(), address, call{fullList: true, timeout: 20 * time.Second})
 	var status *StatusError
 	if !errors.As(err, &status) || status.Address != address || status.Code != http.StatusNotFound {
-		t.Errorf("error %v, want status 404 of %s", err, address)
+		t.Errorf("error %v, want a StatusError with status 404 of %s", err, address)
 	}
 }
 
-// Guards the form of a call: the full list, or what changed after a version.
+// Guards the URL of a call, which asks for the full list or for the changes after a version.
 func TestCallURLAsksForFullListOrChanges(t *testing.T) {
 	tests := []struct {
 		call call
@@ -32,7 +32,7 @@
 	}
 	for _, test := range tests {
 		if got := test.call.url("host:1"); got != test.want {
-			t.Errorf("%+v: %s, want %s", test.call, got, test.want)
+			t.Errorf("URL of %+v: %s, want %s", test.call, got, test.want)
 		}
 	}
 }
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -11,50 +11,52 @@
 
 const (
 	fleetSize = 300
-	// callCost is what a call costs the polled service, which thus needs two thirds of
-	// NotificationDeadline for the fleet. Half as many calls a second could not notify all
-	// in time, however they were spread.
+	// callCost is the time that the polled service takes for a call, so that it needs two
+	// thirds of NotificationDeadline for the whole fleet. At half that rate not all nodes could
+	// be notified in time, however the calls were spread.
 	callCost = 13 * time.Millisecond
-	// shortQueueLimit is how long a call waits in the service's queue before it is rejected, where
-	// it is: one that works on calls whose callers have given up never gets to the others.
+	// shortQueueLimit is how long a call waits in the service's queue before it is rejected.
+	// Without a limit the service spends its time on calls whose callers have given up, and
+	// never gets to the others.
 	shortQueueLimit = 2 * time.Second
-	longQueueLimit  = time.Hour
-	// maxRenewalGap is how soon after a response the next call must come to renew a watch.
+	longQueueLimit  = time.Hour // in effect no limit
+	// maxRenewalGap is the longest time from a response to the next call that renews a watch.
 	maxRenewalGap = 200 * time.Millisecond
 )
 
-// serviceState is what becomes of the calls.
+// serviceState tells how the service handles calls.
 type serviceState int
 
 const (
-	serviceUp serviceState = iota
-	serviceRefusing
-	serviceUnresponsive
-	serviceRejecting // rejects all calls
+	serviceUp           serviceState = iota
+	serviceRefusing                  // refuses connections
+	serviceUnresponsive              // never answers
+	serviceRejecting                 // rejects all calls
 )
 
-// fakeService models discovery: one service that works in turn on the calls of all nodes, on
-// those whose callers have given up as well, or an agent that answers each node at once.
+// fakeService models discovery: either one service that processes the calls of all nodes one at
+// a time, including calls whose callers have given up, or an agent that answers each node at
+// once.
 type fakeService struct {
 	*testclock.Clock
 	address           string
-	callCost          time.Duration // 0: calls cost nothing
-	queueLimit        time.Duration // a call that would wait longer is rejected after that
+	callCost          time.Duration // processing time of a call; 0 for an agent
+	queueLimit        time.Duration // a call that would wait longer is rejected after this time
 	state             serviceState
-	queueEmptyAt      time.Duration // when all that is in its queue is done
-	longestQueueDelay time.Duration // that a call has waited
-	generation        int64
-	held              []*fakeCall // held, in the order in which they came
+	queueEmptyAt      time.Duration // when all queued calls are processed
+	longestQueueDelay time.Duration // longest wait of a call so far
+	generation        int64         // version of the list
+	held              []*fakeCall   // long polls that wait for a change, oldest first
 }
 
 // fakeCall is one call of a node.
 type fakeCall struct {
 	call
 	caller *fakeNode
-	waitID int
+	waitID int // the caller's, when it made the call
 }
 
-// publish makes a new version of the list and returns it.
+// publish creates a new version of the list, answers the held calls with it and returns it.
 func (s *fakeService) publish() int64 {
 	s.generation++
 	held := s.held
@@ -65,16 +67,16 @@
 	return s.generation
 }
 
-// setState changes what becomes of calls. Watches that are held hang.
+// setState changes how calls are handled. Calls that are held get no response.
 func (s *fakeService) setState(state serviceState) {
 	s.state = state
 	s.held = nil
 }
 
-// queueDelay is how long a call that came now would wait.
+// queueDelay returns how long a call that arrived now would wait in the queue.
 func (s *fakeService) queueDelay() time.Duration { return max(s.queueEmptyAt-s.Now, 0) }
 
-// receive takes a call, which may renew a watch.
+// receive handles a call. One that renews a watch costs nothing and is not queued.
 func (s *fakeService) receive(c *fakeCall, renewal bool) {
 	switch {
 	case s.state == serviceUnresponsive:
@@ -98,7 +100,8 @@
 	})
 }
 
-// hold answers a call that there is news for, or when its long-poll wait is over.
+// hold answers a call at once if the list has changed, else at the next change or at the end of
+// the long-poll wait.
 func (s *fakeService) hold(c *fakeCall) {
 	if c.fullList || s.generation > c.index || c.longPollWait <= time.Millisecond {
 		s.respond(c)
@@ -118,26 +121,26 @@
 
 func (s *fakeService) respond(c *fakeCall) { c.caller.receive(c, s.address, s.generation) }
 
-// version is a version of the list at one address of discovery.
+// version identifies a version of the list of the service at one address.
 type version struct {
 	address    string
 	generation int64
 }
 
-// fakeNode is a node of which only the calls to discovery are modeled.
+// fakeNode models the calls of a node to discovery.
 type fakeNode struct {
 	*testclock.Clock
 	schedule     *schedule
 	services     map[string]*fakeService
 	address      string
-	waitID       int // of what it waits for: a call or a pause
+	waitID       int // number of the call or pause in progress; older callbacks are ignored
 	calledAt     time.Duration
 	lastResponse time.Duration
 	hasList      bool
-	notifiedAt   map[version]time.Duration // when it was notified of a version
+	notifiedAt   map[version]time.Duration // when the node was notified of each version
 }
 
-// step makes the next call or waits for it.
+// step makes the next call, or pauses if the schedule demands a delay.
 func (n *fakeNode) step() {
 	n.waitID++
 	id := n.waitID
@@ -165,15 +168,15 @@
 // fail ends a call without a response.
 func (n *fakeNode) fail(c *fakeCall) {
 	if c.waitID == n.waitID {
-		n.lastResponse = -maxRenewalGap - 1 // another connection, another watch
+		n.lastResponse = -maxRenewalGap - 1 // the next call uses a new connection and renews no watch
 		n.pause(n.schedule.failed(n.Now - n.calledAt))
 	}
 }
 
-// receive takes the response to a call.
+// receive handles the response to a call.
 func (n *fakeNode) receive(c *fakeCall, address string, generation int64) {
 	if c.waitID != n.waitID {
-		return // the node has given up
+		return // the node has given up on this call
 	}
 	n.lastResponse = n.Now
 	n.hasList = true
@@ -187,21 +190,22 @@
 	n.step()
 }
 
-// changeAddress moves the node to another address, whatever it waits for.
+// changeAddress moves the node to another address and cancels the call or pause in progress.
 func (n *fakeNode) changeAddress(address string) {
 	n.address = address
 	n.schedule.failed(n.Now - n.calledAt) // the call is canceled
 	n.pause(0)
 }
 
-// fleet is a fleet of nodes with its discovery, and another one to which it may move.
+// fleet is a fleet of nodes with the discovery service that it calls at first, and another one to
+// which it may move.
 type fleet struct {
 	testclock.Clock
 	oldService, newService *fakeService
 	nodes                  []*fakeNode
 }
 
-// newFleet starts nodes that know of version 1 of the list, or of nothing.
+// newFleet starts a fleet whose nodes have version 1 of the list if known is true, else no list.
 func newFleet(mode string, queueLimit time.Duration, known bool, state serviceState) *fleet {
 	f := &fleet{}
 	f.oldService = &fakeService{Clock: &f.Clock, address: "old", queueLimit: queueLimit, generation: 1, state: state}
@@ -235,8 +239,8 @@
 	return f
 }
 
-// lateNodes is how many nodes were notified of a version later than NotificationDeadline past
-// since, or not at all, and how long the last one took.
+// lateNodes returns how many nodes were notified of a version later than NotificationDeadline
+// after since, or not at all, and how long the last node took.
 func (f *fleet) lateNodes(v version, since time.Duration) (late int, longest time.Duration) {
 	for _, node := range f.nodes {
 		at, ok := node.notifiedAt[v]
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -7,27 +7,27 @@
 	"swiftpitch/internal/backoff"
 )
 
-// immediatePollWait is the long-poll wait of a call after a failed one, which is in effect not
-// held: a hung call would cost the wait as well.
+// immediatePollWait is the long-poll wait of the first call to an address and of a call after a
+// failed one. Discovery answers it at once, so a hung call is detected without a long-poll wait.
 const immediatePollWait = time.Millisecond
 
-// randomStream keeps the random numbers of the schedule apart from others of the same seed.
+// randomStream separates the random numbers of the schedule from other streams of the seed.
 const randomStream = 0x646973636f
 
-// schedule decides when a node calls discovery, for what, and with which timeout. It knows
-// neither sockets nor a clock, and is not safe for concurrent use.
+// schedule decides when a node calls discovery, what it asks for, and with which timeout. It
+// uses neither sockets nor a clock, and is not safe for concurrent use.
 type schedule struct {
 	timing     Timing
 	rand       *rand.Rand
-	backoff    backoff.Backoff // of a watch
+	backoff    backoff.Backoff // used unless discovery is polled
 	address    string          // of the last call
 	generation int64           // version of the list
-	hasList    bool            // there is a list
+	hasList    bool            // a list with this version is known
 	connected  bool            // the last call succeeded
 }
 
-// newSchedule begins with the list as it was known. Its version is known too: a watch from
-// there brings what was missed.
+// newSchedule returns a schedule that continues from a cached list: the first call asks for
+// what changed after its version. If the list is empty, the first call asks for the full list.
 func newSchedule(timing Timing, seed uint64, cached List) *schedule {
 	random := rand.New(rand.NewPCG(seed, randomStream))
 	return &schedule{
@@ -39,8 +39,8 @@
 	}
 }
 
-// next returns the next call to an address, or how long to wait before asking again if
-// delay is positive.
+// next returns the next call to an address. If delay is positive, there is no call yet: the
+// caller waits that long and asks again.
 func (s *schedule) next(address string) (next call, delay time.Duration) {
 	if address != s.address {
 		s.changeAddress(address)
@@ -61,9 +61,9 @@
 	return next, 0
 }
 
-// changeAddress notes that the calls go to another address than before.
+// changeAddress records that the next call goes to a new address.
 func (s *schedule) changeAddress(address string) {
-	if s.address != "" { // another service, whose versions are its own
+	if s.address != "" { // another service numbers its versions independently
 		s.hasList = false
 	}
 	s.address = address
@@ -71,7 +71,8 @@
 	s.backoff.Reset()
 }
 
-// longPollWait returns how long discovery may hold the next call.
+// longPollWait returns how long discovery may hold the next call. It is random if discovery is
+// polled.
 func (s *schedule) longPollWait() time.Duration {
 	if !s.timing.Polled {
 		return s.timing.LongPollWait
@@ -80,7 +81,7 @@
 	return time.Duration(fraction * float64(s.timing.LongPollWait))
 }
 
-// succeeded takes the version of the list that a call brought.
+// succeeded records a successful call and the version of the list that it returned.
 func (s *schedule) succeeded(generation int64) {
 	s.generation = generation
 	s.hasList = true
@@ -88,7 +89,8 @@
 	s.backoff.Reset()
 }
 
-// failed returns the wait after a call that took so long and brought nothing.
+// failed records a failed call and returns the delay before the next one, given how long the
+// call took.
 func (s *schedule) failed(took time.Duration) time.Duration {
 	wasConnected := s.connected
 	s.connected = false
@@ -96,8 +98,8 @@
 	case !s.timing.Polled:
 		return s.backoff.Next()
 	case wasConnected:
-		// Nodes often fail together, so they spread their calls again; here over what is left
-		// of the time since the call began.
+		// Nodes often fail together, so their next calls are spread over the jitter window, or
+		// over what is left of NotificationDeadline if that is shorter.
 		left := NotificationDeadline - PollResponseAllowance - took
 		return s.uniform(max(min(s.timing.JitterWindow, left), 0))
 	}
@@ -105,7 +107,7 @@
 	return max(time.Duration(interval)-took, 0)
 }
 
-// uniform draws a duration below window.
+// uniform returns a random duration, uniformly distributed between 0 and window.
 func (s *schedule) uniform(window time.Duration) time.Duration {
 	return time.Duration(s.rand.Float64() * float64(window))
 }
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -8,7 +8,7 @@
 
 // The tests of this file run the schedules of a whole fleet in simulated time.
 
-// discoveryVariants are the ways in which discovery works.
+// discoveryVariants are the kinds of discovery service that are tested.
 var discoveryVariants = []struct {
 	name, mode string
 	queueLimit time.Duration
@@ -18,8 +18,8 @@
 	{"ask, long queue", "ask", longQueueLimit},
 }
 
-// fleetEvents are what may happen to a fleet; each returns the version of which it is time
-// to be notified.
+// fleetEvents are the failures and changes that are tested. Each function returns the version of
+// which the nodes must be notified afterwards.
 var fleetEvents = []struct {
 	name  string
 	event func(*fleet) version
@@ -27,7 +27,7 @@
 	{"steady", (*fleet).publishChange},
 	{"silence", outage(serviceUp, 0)},
 	{"silence in step", func(f *fleet) version {
-		f.oldService.publish() // all watches begin anew
+		f.oldService.publish() // answers all held calls, so that all nodes call again together
 		f.Run(100 * time.Millisecond)
 		f.oldService.setState(serviceUp)
 		return f.publishChange()
@@ -47,7 +47,8 @@
 
 const longOutage = 22 * time.Second
 
-// outage makes a change right after discovery was in a state for a while.
+// outage returns an event in which discovery is in a state for some time, and publishes a change
+// right afterwards.
 func outage(state serviceState, duration time.Duration) func(*fleet) version {
 	return func(f *fleet) version {
 		f.oldService.setState(state)
@@ -57,8 +58,10 @@
 	}
 }
 
+// publishChange publishes a change at the old service.
 func (f *fleet) publishChange() version { return version{"old", f.oldService.publish()} }
 
+// changeAddress moves all nodes to the new service.
 func (f *fleet) changeAddress() version {
 	for _, node := range f.nodes {
 		node.changeAddress("new")
@@ -66,42 +69,44 @@
 	return version{"new", 1}
 }
 
-// Guards the drains and starts of which a large fleet learns: whatever became of the calls
-// before, each node is notified of a change within NotificationDeadline of the moment in
-// which discovery had it and could be reached, and 300 nodes that failed together leave no
-// queue standing at a service of fixed capacity.
+// Guards against nodes that learn too late of endpoints that start or drain. After any kind of
+// failure each node is notified of a change within NotificationDeadline, counted from when
+// discovery has the change and is reachable. After 300 nodes failed together, no queue remains
+// at a service of fixed capacity.
 func TestFleetIsNotifiedWithinDeadline(t *testing.T) {
 	for _, variant := range discoveryVariants {
 		for _, e := range fleetEvents {
 			t.Run(variant.name+"/"+e.name, func(t *testing.T) {
 				f := newFleet(variant.mode, variant.queueLimit, true, serviceUp)
-				f.oldService.publish() // which the nodes do not know of
+				f.oldService.publish() // a change that the nodes do not know yet
 				f.Run(2 * NotificationDeadline)
 				late, longest := f.lateNodes(version{"old", 2}, 0)
 				if late > 0 {
-					t.Errorf("start: %d nodes are notified late, the last after %v", late, longest)
+					t.Errorf("after the start %d of %d nodes were notified late, the last after %v, want all within %v",
+						late, fleetSize, longest, NotificationDeadline)
 				}
 				changed := e.event(f)
 				since := f.Now
 				f.Run(2 * NotificationDeadline)
 				late, longest = f.lateNodes(changed, since)
 				if late > 0 {
-					t.Errorf("%d nodes are notified late, the last after %v", late, longest)
+					t.Errorf("%d of %d nodes were notified of the change late, the last after %v, want all within %v",
+						late, fleetSize, longest, NotificationDeadline)
 				}
 				if delay := max(f.oldService.queueDelay(), f.newService.queueDelay()); delay > 0 {
-					t.Errorf("a queue of %v stands %v later", delay, 2*NotificationDeadline)
+					t.Errorf("queue delay %v, %v after the event, want an empty queue", delay, 2*NotificationDeadline)
 				}
-				t.Logf("the last node is notified after %v, the longest queue was %v", longest,
+				t.Logf("the last node was notified after %v, the longest queue delay was %v", longest,
 					max(f.oldService.longestQueueDelay, f.newService.longestQueueDelay))
 			})
 		}
 	}
 }
 
-// Guards a fleet whose processes are restarted together: nine in ten are ready within 10 s,
-// with nothing known or an old list, with discovery that is polled and crowded by the
-// others, or that is down at the start: then a node that knows of no endpoint is ready
-// within NotificationDeadline of its return.
+// Guards against a slow start of a fleet whose processes are restarted together. Nine in ten
+// nodes are ready within 10 s, with or without a cached list, even if all of them poll the same
+// service. If discovery is down at the start, a node without a cached list is ready within
+// NotificationDeadline after discovery is back.
 func TestRestartedFleetBecomesReady(t *testing.T) {
 	for _, variant := range discoveryVariants {
 		for _, known := range []bool{false, true} {
@@ -114,7 +119,8 @@
 	}
 }
 
-// checkRestart restarts a fleet whose discovery is down for a while.
+// checkRestart starts a fleet whose discovery is down for the given time, and checks that enough
+// nodes become ready.
 func checkRestart(t *testing.T, mode string, queueLimit time.Duration, known bool, down time.Duration) {
 	t.Helper()
 	const (
@@ -135,14 +141,14 @@
 		if node.hasList {
 			answered++
 		}
-		if node.hasList || known { // a node that knows of endpoints is ready at once
+		if node.hasList || known { // a node with a cached list is ready at once
 			ready++
 		}
 	}
 	if float64(ready) < readyShare*fleetSize {
-		t.Errorf("%d of %d nodes are ready", ready, fleetSize)
+		t.Errorf("%d of %d nodes are ready, want a share of %v at least", ready, fleetSize, readyShare)
 	}
 	if answered < fleetSize {
-		t.Errorf("%d of %d nodes have a list of their own", answered, fleetSize)
+		t.Errorf("%d of %d nodes have received a list from discovery, want all", answered, fleetSize)
 	}
 }
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -6,86 +6,92 @@
 	"swiftpitch/internal/config"
 )
 
-// NotificationDeadline is how long after discovery had a change and could be reached the
-// node counts as notified, whatever became of the calls meanwhile. What a node spends on a
-// call that fails, on the wait after it and on the next call has to fit.
+// NotificationDeadline is how long after a change the node counts as notified of it, even if
+// its calls failed meanwhile. The time starts when discovery has the change and is reachable.
+// A failed call, the delay after it and the next call must fit into it.
 const NotificationDeadline = 6 * time.Second
 
 // The durations of a watch, where discovery pushes changes to an agent on this machine. The
-// agent's responses cost nothing, and a change counts as notified once the agent has it,
-// with or without a watch. So a new process calls at once, and after a failed call the wait is a
-// part of the drain grace, for which an endpoint that drains may still get requests.
+// agent's responses cost nothing, and a node counts as notified of a change once its agent has
+// it, with or without a watch. So a new process calls at once, and the delay after a failed
+// call is a fraction of the drain grace, the time for which a draining endpoint may still
+// receive requests.
 const (
 	// WatchLongPollWait is how long the agent may hold a watch.
 	WatchLongPollWait = 4 * time.Second
-	// watchResponseMargin is how long past the long-poll wait, or after a call that is not
-	// held, the agent counts as silent.
+	// watchResponseMargin is how long a response may take beyond the long-poll wait before
+	// the call fails; also the timeout of a call that the agent does not hold.
 	watchResponseMargin = time.Second
 
-	// The bound of the first backoff is the drain grace over minBackoffDivisor, but at most
-	// minBackoffCeiling, and at least minBackoffFloor so that an agent that is down is not
-	// called without end.
+	// The bound of the first backoff is the drain grace divided by minBackoffDivisor, limited
+	// to the range from minBackoffFloor to minBackoffCeiling. The floor prevents a busy loop
+	// of calls to an agent that is down.
 	minBackoffDivisor = 4
 	minBackoffCeiling = 100 * time.Millisecond
 	minBackoffFloor   = 10 * time.Millisecond
-	// The bound of any backoff is at most the drain grace over maxBackoffDivisor, and at most
-	// maxBackoffFactor times that of the first.
+	// The bound of any backoff is at most the drain grace divided by maxBackoffDivisor, and at
+	// most maxBackoffFactor times the bound of the first.
 	maxBackoffDivisor = 2
 	maxBackoffFactor  = 4
 )
 
-// The durations of polling, where discovery is one service for the whole fleet. It works on
-// calls in turn, also on those whose callers have given up, and rejects what has waited too
-// long. Nodes that start, move or fail together spread their first calls over a jitter
-// window; after that each calls once in an interval that hardly varies, so that they stay
-// spread, and a node calls again soon enough however often it failed. A service that
-// answers the fleet once in two thirds of NotificationDeadline keeps no standing queue.
+// The durations of polling, where discovery is one service for the whole fleet. It processes
+// calls one at a time, including calls whose callers have given up, and rejects calls that
+// have queued too long. Nodes that start, change address or fail together spread their first
+// calls over a jitter window. After that each node calls once per poll interval, which varies
+// little, so that the calls stay spread and a node retries soon enough however often it
+// failed. A service that can answer the whole fleet within two thirds of NotificationDeadline
+// keeps no standing queue.
 const (
-	// jitterWindowPerNode is the mean time between two nodes' first calls.
+	// jitterWindowPerNode is the mean time between the first calls of two nodes.
 	jitterWindowPerNode = 80 * time.Millisecond
-	// MaxJitterWindow is the longest time over which first calls are spread: after SIGHUP a
-	// node counts as notified in 4 s.
+	// MaxJitterWindow limits the jitter window: a node counts as notified 4 s after SIGHUP,
+	// so its first call to a new address must come earlier.
 	MaxJitterWindow = 3500 * time.Millisecond
-	// pollIntervalFactor is how many jitter windows a poll interval has.
+	// pollIntervalFactor is the poll interval in jitter windows.
 	pollIntervalFactor = 4
-	// MaxPollInterval is the longest poll interval, from call to call after a failure.
+	// MaxPollInterval limits the poll interval: the time from the start of a failed call to
+	// the start of the next one.
 	MaxPollInterval = 4 * time.Second
-	// PollIntervalJitter is the random part of the poll interval.
+	// PollIntervalJitter is the largest fraction by which a poll interval is shortened at
+	// random.
 	PollIntervalJitter = 0.15
-	// PollResponseAllowance is what the waits leave of NotificationDeadline for a response,
-	// its way and its use.
+	// PollResponseAllowance is the part of NotificationDeadline that the delays leave for a
+	// call: the service's response, its transfer and its processing by the node.
 	PollResponseAllowance = 1800 * time.Millisecond
-	// pollTimeout is when a call is given up. It is longer than PollResponseAllowance, and
-	// makes no poll interval longer. Giving up earlier would save nothing, as the service
-	// works on the call anyway, and early in a jitter window there is time for a longer queue.
+	// pollTimeout limits a call that is not held. It is longer than PollResponseAllowance:
+	// early in a jitter window there is time to wait in a longer queue, and an earlier
+	// timeout would save nothing, as the service processes the call anyway. It does not
+	// lengthen the poll interval.
 	pollTimeout = 2500 * time.Millisecond
 
-	// pollLongPollWait is the longest that a call is held. Each is held for a random time, so
-	// that calls that fall silent together are found so at different times; to renew a call
-	// that was held costs the service nothing.
+	// pollLongPollWait is the longest time for which a call is held. Each call is held for a
+	// random time, so that nodes whose calls hang together notice it at different times.
+	// Renewing a held call costs the service nothing.
 	pollLongPollWait = 2 * time.Second
-	// MinLongPollWaitFraction is the shortest, as a fraction of the longest.
+	// MinLongPollWaitFraction is the shortest long-poll wait as a fraction of the longest.
 	MinLongPollWaitFraction = 0.2
-	// pollResponseMargin is how long past its long-poll wait a call counts as silent.
+	// pollResponseMargin is how long a response may take beyond the long-poll wait before the
+	// call fails.
 	pollResponseMargin = 500 * time.Millisecond
 )
 
 // Timing holds the durations of the calls to discovery.
 type Timing struct {
 	Polled         bool          // discovery is one service for the fleet, else an agent on this machine
-	LongPollWait   time.Duration // the longest that discovery may hold a call
-	ResponseMargin time.Duration // past the long-poll wait, after which a held call has failed
-	CallTimeout    time.Duration // after which a call that is not held has failed
+	LongPollWait   time.Duration // longest time for which discovery may hold a call
+	ResponseMargin time.Duration // time beyond the long-poll wait after which a held call fails
+	CallTimeout    time.Duration // time after which a call that is not held fails
 
-	// Polled only.
+	// Set only if Polled is true.
 
-	JitterWindow time.Duration // over which nodes that start, move or fail together begin to call
-	PollInterval time.Duration // from the beginning of a failed call to that of the next
+	JitterWindow time.Duration // spreads the first calls of nodes that start, change address or fail together
+	PollInterval time.Duration // from the start of a failed call to the start of the next one
 
-	// Not polled only.
+	// Set only if Polled is false.
 
 	MinBackoff time.Duration // bound of the first backoff after a failed call
-	MaxBackoff time.Duration // bound of the longest
+	MaxBackoff time.Duration // bound of every backoff
 }
 
 // NewTiming returns the durations for the settings of a node.
