--- a/internal/counterclient/call.go
+++ b/internal/counterclient/call.go
@@ -10,10 +10,10 @@
 // pendingCall is one call to the counter service, from [Client.Add] to its response.
 type pendingCall struct {
 	key       uint64
-	request   []byte // as it is written to the connection
+	request   []byte // the HTTP request, ready to be written
 	startedAt time.Time
 	timer     *time.Timer
-	completed bool // the owner has its outcome
+	completed bool // OnReply has received the outcome
 }
 
 func newPendingCall(host string, addition policy.AddToCounter) *pendingCall {
@@ -24,8 +24,8 @@
 	}
 }
 
-// formatRequest returns the request of a call. The time to live is rounded up to whole
-// milliseconds, of which the service wants one at least.
+// formatRequest returns the HTTP request of a call. The time to live is rounded up to whole
+// milliseconds, because the service rejects a value below 1 ms.
 func formatRequest(host string, addition policy.AddToCounter) []byte {
 	ttl := max((addition.TTL+time.Millisecond-1)/time.Millisecond, 1)
 	request := make([]byte, 0, 128)
--- a/internal/counterclient/client.go
+++ b/internal/counterclient/client.go
@@ -1,9 +1,9 @@
 // Package counterclient adds to the fleet's shared counters over one pipelined HTTP/1.1
 // connection to the counter service.
 //
-// The package holds no lock of its own. Its owner's lock, [Options.Lock], guards all state
-// of a client: the owner holds it when it calls a method of [Client], and the client holds
-// it when it calls [Options.OnReply]. Nothing that blocks is done while it is held.
+// A client has no lock of its own. Its owner's lock, [Options.Lock], guards all its state: the
+// owner holds the lock when it calls a method of [Client], from any goroutine, and the client
+// holds it when it calls [Options.OnReply]. The client never blocks while the lock is held.
 package counterclient
 
 import (
@@ -14,35 +14,33 @@
 	"swiftpitch/internal/policy"
 )
 
-// maxPendingCalls bounds the calls that are queued or await a response; one more fails at
-// once.
+// maxPendingCalls limits the calls that are queued or in flight. Further calls fail at once.
 const maxPendingCalls = 512
 
-// Options is what a [Client] takes from its owner. All fields are required.
+// Options configures a [Client]. All fields are required.
 type Options struct {
-	Context     context.Context // its end closes the connection
+	Context     context.Context // closes the connection when it ends
 	Lock        sync.Locker     // guards the client
-	DialTimeout time.Duration   // for a connection to come up
+	DialTimeout time.Duration   // limits the time to establish a connection
 
-	// Go runs a goroutine for which the owner waits when it shuts down.
+	// Go runs a function in a goroutine for which the owner waits when it shuts down.
 	Go func(func())
-	// AfterFunc runs a function under Lock after a delay, unless the owner has closed.
+	// AfterFunc runs a function with Lock held after a delay, unless the owner has shut down.
 	AfterFunc func(time.Duration, func()) *time.Timer
-	// OnReply takes the outcome of a call, exactly one for each. It runs under Lock and may
-	// call [Client.Add].
+	// OnReply receives the outcome of each call, exactly once. It is called with Lock held and
+	// may call [Client.Add].
 	OnReply func(policy.CounterReplied)
 }
 
 // Client makes calls to the counter service over one pipelined connection, which it dials
-// when there is something to write. Every method requires that the caller holds the owner's
-// lock, which guards all fields that change.
+// when a call is queued. The caller of every method must hold the owner's lock.
 type Client struct {
-	lock    sync.Locker // the owner's
+	lock    sync.Locker // the owner's; guards the fields below that change
 	options Options
 
 	address string
-	queue   []*pendingCall // to be written, oldest first
-	active  *connection    // takes new calls; nil: none
+	queue   []*pendingCall // not yet written, oldest first
+	active  *connection    // writes the queued calls; nil if there is none
 }
 
 // New returns a client of the counter service at address (host:port). It does not connect
@@ -51,8 +49,8 @@
 	return &Client{lock: options.Lock, options: options, address: address}
 }
 
-// Add begins a call, whose outcome [Options.OnReply] receives: at the latest after timeout,
-// or after unresponsiveTimeout if timeout is not positive.
+// Add starts a call. [Options.OnReply] receives its outcome after timeout at the latest, or
+// after unresponsiveTimeout if timeout is not positive.
 func (c *Client) Add(addition policy.AddToCounter, timeout time.Duration) {
 	if c.pending() >= maxPendingCalls {
 		c.options.OnReply(policy.CounterReplied{Key: addition.Key, Outcome: policy.ConnectFailed})
@@ -67,8 +65,8 @@
 	c.wake()
 }
 
-// ChangeAddress moves the client to another address. Calls that are not yet written go
-// there; the old connection still delivers the responses that it owes, for a while.
+// ChangeAddress moves the client to another address. Queued calls go to the new address; the
+// old connection may deliver its outstanding responses for drainTimeout.
 func (c *Client) ChangeAddress(address string) {
 	if address == c.address {
 		return
@@ -83,12 +81,11 @@
 	}
 }
 
-// Close closes the active connection and ends all calls, queued ones included. A connection
-// that drains ends by its own deadline.
+// Close closes the active connection and fails all its calls, queued ones included. A
+// draining connection ends by its own deadline.
 func (c *Client) Close() { c.failAll() }
 
-// pending is the number of calls that are queued or await a response on the active
-// connection.
+// pending returns the number of calls that are queued, or in flight on the active connection.
 func (c *Client) pending() int {
 	if c.active == nil {
 		return len(c.queue)
@@ -96,7 +93,7 @@
 	return len(c.queue) + len(c.active.inFlight)
 }
 
-// wake makes sure that a connection is open, or being dialed, for the queue.
+// wake tells the active connection to write the queue, and dials a connection if there is none.
 func (c *Client) wake() {
 	if c.active == nil {
 		c.active = c.connect()
@@ -104,7 +101,7 @@
 	c.active.wake()
 }
 
-// complete gives a call its one outcome.
+// complete reports the outcome of a call, unless one has been reported already.
 func (c *Client) complete(call *pendingCall, outcome policy.Outcome, total float64) {
 	if call.completed {
 		return
@@ -114,9 +111,9 @@
 	c.options.OnReply(policy.CounterReplied{Key: call.key, Outcome: outcome, Total: total})
 }
 
-// expireCall ends a call that has no response in time. One that was never written is
-// removed from the queue; for another the connection still owes a response, which is
-// dropped when it comes.
+// expireCall completes a call whose timeout has passed. A queued call is removed from the
+// queue. A written call stays in flight, so that its response, if it still comes, is matched
+// to it and ignored.
 func (c *Client) expireCall(call *pendingCall) {
 	if c.dequeue(call) {
 		c.complete(call, policy.ConnectFailed, 0)
@@ -124,11 +121,11 @@
 	}
 	c.complete(call, policy.TimedOut, 0)
 	if c.active != nil && c.active.unresponsive() {
-		c.failAll() // the counter's machine has vanished without closing the connection
+		c.failAll() // the counter's machine is gone and has not closed the connection
 	}
 }
 
-// dequeue removes a call that is not yet written and reports whether there was one.
+// dequeue removes a call from the queue and reports whether it was queued.
 func (c *Client) dequeue(call *pendingCall) bool {
 	for i, queued := range c.queue {
 		if queued == call {
@@ -139,8 +136,8 @@
 	return false
 }
 
-// failAll closes the active connection and ends all calls: those that were written may have
-// been added, those in the queue were not.
+// failAll closes the active connection and fails all calls. Calls in flight may have been
+// added to the counter, so they end as timed out; queued calls were not.
 func (c *Client) failAll() {
 	previous, queue := c.active, c.queue
 	c.active = nil
@@ -153,8 +150,8 @@
 	}
 }
 
-// dropConnection closes a connection that has failed, unless that is done already. Calls
-// that were not yet written get a new connection, unless this one never came up.
+// dropConnection closes a failed connection, if it is still open. Queued calls get a new
+// connection, unless the failed one was never established.
 func (c *Client) dropConnection(failed *connection) {
 	switch {
 	case failed.closed:
--- a/internal/counterclient/connection.go
+++ b/internal/counterclient/connection.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// unresponsiveTimeout is how long a response may be due before the connection is given
-	// up. It also bounds a write.
+	// unresponsiveTimeout is how long a response may be outstanding before the connection is
+	// considered dead. It also limits a write.
 	unresponsiveTimeout = 500 * time.Millisecond
-	// idleTimeout closes an idle connection before the counter service does, so that no call
-	// is written to a connection that is being closed.
+	// idleTimeout is how long a connection without calls stays open. It is shorter than the
+	// counter service's, so that no call is written to a connection that the service closes.
 	idleTimeout = 4 * time.Second
-	// drainTimeout is how long a connection to a previous address may still deliver.
+	// drainTimeout is how long a connection to a previous address may deliver responses.
 	drainTimeout = 2 * time.Second
-	// readBufferSize is in bytes; many pipelined responses fit.
+	// readBufferSize is the size of the read buffer in bytes. Many pipelined responses fit.
 	readBufferSize = 4 << 10
 )
 
 // connection is one connection to the counter service. One goroutine dials and writes,
-// another reads. The owner's lock guards all fields; conn is set once, before the goroutine
-// that reads starts, and is nil while the connection is dialed.
+// another reads. The owner's lock guards all fields. conn is set once, before the reading
+// goroutine starts, and is nil during the dial.
 type connection struct {
 	client     *Client
-	cancelDial context.CancelFunc // of the dial
+	cancelDial context.CancelFunc
 	conn       net.Conn
 	inFlight   []*pendingCall // written and not answered, oldest first
-	wakeup     chan struct{}  // tells the writer that there is something to do
-	draining   bool           // it leads to a previous address: it takes no new calls
+	wakeup     chan struct{}  // wakes the writer
+	draining   bool           // to a previous address: no new calls are written
 	closed     bool
 }
 
-// connect begins to dial the client's address. The lock is held.
+// connect starts to dial the client's address. The lock must be held.
 func (c *Client) connect() *connection {
 	ctx, cancel := context.WithTimeout(c.options.Context, c.options.DialTimeout)
 	created := &connection{client: c, cancelDial: cancel, wakeup: make(chan struct{}, 1)}
@@ -45,21 +45,22 @@
 	return created
 }
 
-// wake makes the writer look at the queue.
+// wake makes the writer check the queue and the state of the connection.
 func (c *connection) wake() {
 	select {
 	case c.wakeup <- struct{}{}:
-	default: // it has been woken and has not yet looked
+	default: // a wakeup is already pending
 	}
 }
 
-// unresponsive reports whether a response has been due for too long. The lock is held.
+// unresponsive reports whether the oldest call in flight has waited longer than
+// unresponsiveTimeout. The lock must be held.
 func (c *connection) unresponsive() bool {
 	return len(c.inFlight) > 0 && time.Since(c.inFlight[0].startedAt) > unresponsiveTimeout
 }
 
-// drain lets the connection deliver the responses that it owes and nothing more. The lock
-// is held.
+// drain lets the connection deliver its outstanding responses, and closes it if there are
+// none. The lock must be held.
 func (c *connection) drain() {
 	c.draining = true
 	if c.conn == nil || len(c.inFlight) == 0 {
@@ -70,8 +71,8 @@
 	c.wake()
 }
 
-// close closes the connection. What was written to it may have been added. The lock is
-// held.
+// close closes the connection. Calls in flight may have been added to the counter, so they end
+// as timed out. The lock must be held.
 func (c *connection) close() {
 	c.closed = true
 	c.cancelDial()
@@ -84,7 +85,7 @@
 	c.inFlight = nil
 }
 
-// drop closes the connection after a failure. The lock is not held.
+// drop closes the connection after a failure. The lock must not be held.
 func (c *connection) drop() {
 	c.client.lock.Lock()
 	defer c.client.lock.Unlock()
@@ -107,7 +108,7 @@
 	c.writeLoop()
 }
 
-// setConn takes the dialed socket, and reports false if the connection was closed meanwhile.
+// setConn stores the dialed socket, or reports false if the connection was closed meanwhile.
 func (c *connection) setConn(conn net.Conn) bool {
 	c.client.lock.Lock()
 	defer c.client.lock.Unlock()
@@ -118,7 +119,8 @@
 	return true
 }
 
-// writeLoop writes what is queued whenever it is woken.
+// writeLoop writes the queued calls whenever it is woken, until the connection fails, drains or
+// is idle.
 func (c *connection) writeLoop() {
 	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
@@ -146,8 +148,7 @@
 	}
 }
 
-// closeIfIdle closes the connection if no call waits to be written, and reports whether it
-// is closed.
+// closeIfIdle closes the connection if no call is queued, and reports whether it is closed.
 func (c *connection) closeIfIdle() bool {
 	c.client.lock.Lock()
 	defer c.client.lock.Unlock()
@@ -157,9 +158,9 @@
 	return c.closed
 }
 
-// takeQueue moves the queued calls to those that await a response and appends their
-// requests to buffer. It reports false if the connection takes no more calls; one that
-// drains is the reader's to close.
+// takeQueue moves the queued calls to the calls in flight and appends their requests to
+// buffer. It reports false if the connection writes no more calls; a draining connection is
+// closed by the reader.
 func (c *connection) takeQueue(buffer []byte) ([]byte, bool) {
 	c.client.lock.Lock()
 	defer c.client.lock.Unlock()
@@ -174,7 +175,7 @@
 	return buffer, true
 }
 
-// write writes requests and reports whether the connection is still good.
+// write writes requests and reports whether it succeeded. On failure it drops the connection.
 func (c *connection) write(requests []byte) bool {
 	c.conn.SetWriteDeadline(time.Now().Add(unresponsiveTimeout))
 	if _, err := c.conn.Write(requests); err != nil {
@@ -184,8 +185,8 @@
 	return true
 }
 
-// readLoop takes the responses in the order of their calls until the connection fails or
-// has delivered all that it owes.
+// readLoop reads the responses, which come in the order of their calls, until the connection
+// fails or has drained.
 func (c *connection) readLoop() {
 	defer c.conn.Close()
 	defer c.drop()
@@ -204,12 +205,12 @@
 	}
 }
 
-// deliver completes the oldest call that awaits a response, and reports whether the
-// connection is to read another.
+// deliver completes the oldest call in flight with a response, and reports whether the reader
+// may read another one.
 func (c *connection) deliver(received response) bool {
 	c.client.lock.Lock()
 	defer c.client.lock.Unlock()
-	if c.closed || len(c.inFlight) == 0 { // a response to no call
+	if c.closed || len(c.inFlight) == 0 { // the response belongs to no call
 		return false
 	}
 	call := c.inFlight[0]
--- a/internal/counterclient/response.go
+++ b/internal/counterclient/response.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	// maxResponseBytes bounds a response, with its head, in bytes.
+	// maxResponseBytes limits a response including its header, in bytes.
 	maxResponseBytes = 4 << 10
 	// maxInterimResponses is how many 1xx responses may precede the response to a call.
 	maxInterimResponses = 8
 )
 
-// response is what the service says to one call.
+// response is the service's response to one call.
 type response struct {
 	outcome  policy.Outcome
-	total    float64 // of the counter, if the call succeeded
-	reusable bool    // the connection is good for more responses
+	total    float64 // value of the counter, if the call succeeded
+	reusable bool    // more responses can be read from the connection
 }
 
-// unknownResult stands for a response that cannot be read: the call may have been added,
-// and where the next response begins is not known.
+// unknownResult is the result of a response that cannot be read: the call may have been added
+// to the counter, and the start of the next response is unknown.
 var unknownResult = response{outcome: policy.TimedOut}
 
-// readResponse reads one response from a reader whose length is bounded.
+// readResponse reads one response. The caller limits how much can be read.
 func readResponse(reader *bufio.Reader) response {
 	head, err := readHead(reader)
 	if err != nil {
 		return unknownResult
 	}
-	if head.ContentLength < 0 && len(head.TransferEncoding) == 0 { // it ends with the connection
+	if head.ContentLength < 0 && len(head.TransferEncoding) == 0 { // the body ends with the connection
 		return unknownResult
 	}
 	body, err := io.ReadAll(head.Body)
@@ -44,7 +44,7 @@
 	switch head.StatusCode {
 	case http.StatusOK:
 		total, ok := parseTotal(string(body))
-		if !ok { // added, but the total is not known
+		if !ok { // the call was added, but the total is unknown
 			return unknownResult
 		}
 		return response{outcome: policy.Succeeded, total: total, reusable: !head.Close}
@@ -54,7 +54,8 @@
 	return response{outcome: policy.TimedOut, reusable: !head.Close}
 }
 
-// readHead reads the head of the next final response: an interim one belongs to no call.
+// readHead reads the header of the next final response. Interim (1xx) responses before it are
+// skipped, as they do not complete a call.
 func readHead(reader *bufio.Reader) (*http.Response, error) {
 	head, err := http.ReadResponse(reader, nil)
 	for i := 0; err == nil && head.StatusCode < 200 && i < maxInterimResponses; i++ {
@@ -63,7 +64,7 @@
 	return head, err
 }
 
-// parseTotal reads the total of a counter, which may be negative.
+// parseTotal parses the value of a counter, which may be negative.
 func parseTotal(body string) (total float64, ok bool) {
 	digits, negative := strings.CutPrefix(strings.TrimSpace(body), "-")
 	total, ok = decimal.Parse(digits)
--- a/internal/counterclient/response_test.go
+++ b/internal/counterclient/response_test.go
@@ -8,8 +8,8 @@
 	"swiftpitch/internal/policy"
 )
 
-// Guards what the client makes of a response: whether the call was added, and whether the
-// connection can be read on.
+// Guards how a response is interpreted: the outcome of the call, the total, and whether the
+// connection can be reused.
 func TestReadResponseTellsOutcomeAndReuse(t *testing.T) {
 	const interim = "HTTP/1.1 100 Continue\r\n\r\n"
 	tests := []struct {
@@ -33,7 +33,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := readResponse(bufio.NewReader(strings.NewReader(test.text))); got != test.want {
-				t.Errorf("%+v, want %+v", got, test.want)
+				t.Errorf("readResponse(%q) = %+v, want %+v", test.text, got, test.want)
 			}
 		})
 	}
