--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -10,40 +10,41 @@
 	"swiftpitch/internal/policy"
 )
 
-// The environment variables of an edge node. An address in the file takes precedence over its variable.
+// The environment variables of an edge node. An address in the file takes precedence over the
+// variable.
 const (
 	FileVariable      = "RELAY_CONFIG"    // path of the configuration file
-	ListenVariable    = "RELAY_LISTEN"    // address for clients, if the file names none
-	DiscoveryVariable = "RELAY_DISCOVERY" // address of discovery, if the file names none
+	ListenVariable    = "RELAY_LISTEN"    // address for clients
+	DiscoveryVariable = "RELAY_DISCOVERY" // address of discovery
 )
 
-// bytesPerMB is how many bytes a megabyte of the file counts.
+// bytesPerMB is the number of bytes in a megabyte of the limit memory_mb.
 const bytesPerMB = 1 << 20
 
-// File is a configuration file, complete and checked.
+// File is a configuration file after validation, with addresses from the environment filled in.
 type File struct {
 	Listen        string          // address for clients
 	Discovery     string          // address of discovery
-	Counter       string          // address of the counter; empty: none
-	Seed          uint64          // of this incarnation's random numbers
-	ProcessLimits ProcessLimits   // what the machine allows the process
-	CachedList    json.RawMessage // discovery's list as last received, in discovery's form; empty: none
+	Counter       string          // address of the counter; empty if there is none
+	Seed          uint64          // of the random numbers of this run of the node
+	ProcessLimits ProcessLimits   // resource limits of the process
+	CachedList    json.RawMessage // list of endpoints last received from discovery, in discovery's format; empty if there is none
 	Settings      *Settings
 }
 
-// ProcessLimits is what the machine allows the process; 0 means that nothing is said.
+// ProcessLimits holds the resource limits of the process; 0 means not specified.
 type ProcessLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"` // file descriptors
 }
 
-// MemoryBytes returns the limit of the memory in bytes.
+// MemoryBytes returns the memory limit in bytes.
 func (l ProcessLimits) MemoryBytes() int64 { return int64(l.MemoryMB) * bytesPerMB }
 
 // document is the JSON form of a configuration file.
 type document struct {
-	Name          string          `json:"name"` // for those who read the file
+	Name          string          `json:"name"` // for human readers only
 	Listen        string          `json:"listen"`
 	Discovery     string          `json:"discovery"`
 	Counter       string          `json:"counter"`
@@ -53,9 +54,9 @@
 	Settings      json.RawMessage `json:"settings"`
 }
 
-// Load reads and checks the configuration file at a path, which is empty if [FileVariable] is
-// not set. Addresses that it leaves out are taken from the environment. A fault of one key is
-// a [*KeyError] in the error's chain.
+// Load reads and validates the configuration file at path. Addresses that the file leaves out
+// are taken from the environment. If a key is missing or invalid, the returned error wraps a
+// [*KeyError]. An empty path is an error of [FileVariable], which was not set.
 func Load(path string) (*File, error) {
 	file, err := load(path)
 	if err != nil {
@@ -80,7 +81,7 @@
 	return doc.validate()
 }
 
-// applyEnvironment fills in the addresses that the file leaves out.
+// applyEnvironment takes the addresses that the file leaves out from the environment.
 func (d *document) applyEnvironment() {
 	if d.Listen == "" {
 		d.Listen = os.Getenv(ListenVariable)
@@ -90,7 +91,7 @@
 	}
 }
 
-// validate returns the file that the document stands for, or the error of the first key at fault.
+// validate checks the document and returns it as a File, or the error of the first invalid key.
 func (d *document) validate() (*File, error) {
 	seed, err := strconv.ParseUint(d.Seed, 16, 64)
 	if err != nil {
@@ -109,7 +110,7 @@
 	if err := d.checkAddresses(); err != nil {
 		return nil, err
 	}
-	// The policy checks its own settings.
+	// The policy validates its own settings.
 	if _, err := policy.New(0, settings.Policy(seed)); err != nil {
 		return nil, &KeyError{Key: "settings", Err: err}
 	}
@@ -124,7 +125,7 @@
 	}, nil
 }
 
-// checkRequiredKeys checks that every key is set that each configuration needs.
+// checkRequiredKeys checks that the keys that every configuration needs are set.
 func (d *document) checkRequiredKeys() error {
 	switch {
 	case d.Listen == "":
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// checkAddresses checks that each address that is set has a host and a port.
+// checkAddresses checks that each address that is set has the form host:port.
 func (d *document) checkAddresses() error {
 	addresses := []struct{ key, address string }{
 		{"listen", d.Listen},
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -30,14 +30,14 @@
 	return path
 }
 
-// clearEnvironment makes sure that no address comes from the environment.
+// clearEnvironment unsets the addresses in the environment.
 func clearEnvironment(t *testing.T) {
 	t.Helper()
 	t.Setenv(config.ListenVariable, "")
 	t.Setenv(config.DiscoveryVariable, "")
 }
 
-// Guards what is read from a configuration file.
+// Guards that each key of a configuration file is read into its field.
 func TestLoadReadsEveryKey(t *testing.T) {
 	clearEnvironment(t)
 	file, err := config.Load(writeFile(t, validFile))
@@ -45,26 +45,26 @@
 		t.Fatal(err)
 	}
 	if file.Listen != "127.0.0.1:1" || file.Discovery != "127.0.0.1:2" || file.Counter != "127.0.0.1:3" {
-		t.Errorf("addresses: %q, %q, %q", file.Listen, file.Discovery, file.Counter)
+		t.Errorf("listen %q, discovery %q, counter %q, want the file's 127.0.0.1:1, :2 and :3", file.Listen, file.Discovery, file.Counter)
 	}
 	if file.Seed != 0x8c1f30d27a5be964 {
-		t.Errorf("seed: %x", file.Seed)
+		t.Errorf("seed %x, want 8c1f30d27a5be964", file.Seed)
 	}
 	if file.ProcessLimits != (config.ProcessLimits{Cores: 1.5, MemoryMB: 192, Sockets: 1024}) {
-		t.Errorf("limits: %+v", file.ProcessLimits)
+		t.Errorf("limits %+v, want 1.5 cores, 192 MB, 1024 sockets", file.ProcessLimits)
 	}
 	if got := file.ProcessLimits.MemoryBytes(); got != 192<<20 {
-		t.Errorf("memory: %d bytes", got)
+		t.Errorf("memory limit of %d bytes, want %d", got, 192<<20)
 	}
 	if string(file.CachedList) != `{"generation":41}` {
-		t.Errorf("known: %s", file.CachedList)
+		t.Errorf("known %s, want generation 41", file.CachedList)
 	}
 	if file.Settings.Gateways != 2 || file.Settings.Classes[0].Name != "c" {
-		t.Errorf("settings: %+v", file.Settings)
+		t.Errorf("settings %+v, want 2 gateways and class c", file.Settings)
 	}
 }
 
-// Guards that the environment gives the addresses that the file leaves out, and no others.
+// Guards that an address is taken from the environment only if the file leaves it out.
 func TestLoadTakesAddressesFromEnvironment(t *testing.T) {
 	t.Setenv(config.ListenVariable, "127.0.0.1:8")
 	t.Setenv(config.DiscoveryVariable, "127.0.0.1:9")
@@ -73,11 +73,11 @@
 		t.Fatal(err)
 	}
 	if file.Listen != "127.0.0.1:8" || file.Discovery != "127.0.0.1:2" {
-		t.Errorf("addresses: %q, %q", file.Listen, file.Discovery)
+		t.Errorf("listen %q, discovery %q, want 127.0.0.1:8 of the environment and 127.0.0.1:2 of the file", file.Listen, file.Discovery)
 	}
 }
 
-// Guards that an error names the key at fault, in one line, and wraps its cause.
+// Guards that an error names the invalid key, has one line, and wraps its cause.
 func TestLoadErrorsNameTheKey(t *testing.T) {
 	clearEnvironment(t)
 	isMissing := func(err error) bool { return errors.Is(err, config.ErrMissing) }
@@ -108,31 +108,32 @@
 		_, err := config.Load(writeFile(t, strings.Replace(validFile, c.old, c.new, 1)))
 		var keyError *config.KeyError
 		if !errors.As(err, &keyError) || keyError.Key != c.key || !c.isCause(err) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want an error of key %q", c.name, err, c.key)
+			t.Errorf("%s: error %v, want one line with a KeyError of key %q and its cause", c.name, err, c.key)
 		}
 	}
 }
 
-// Guards the errors that belong to no key of the file.
+// Guards the errors that concern the file as a whole: no path, no such file, malformed JSON.
 func TestLoadReportsUnreadableFile(t *testing.T) {
 	clearEnvironment(t)
 	_, err := config.Load("")
 	var keyError *config.KeyError
 	if !errors.As(err, &keyError) || keyError.Key != config.FileVariable || !errors.Is(err, config.ErrMissing) {
-		t.Errorf("without a path: %v", err)
+		t.Errorf("empty path: error %v, want ErrMissing for %s", err, config.FileVariable)
 	}
 	_, err = config.Load(filepath.Join(t.TempDir(), "none"))
 	if !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("without a file: %v", err)
+		t.Errorf("no such file: error %v, want fs.ErrNotExist", err)
 	}
 	_, err = config.Load(writeFile(t, validFile[:20]))
 	var syntaxError *json.SyntaxError
 	if !errors.As(err, &syntaxError) {
-		t.Errorf("malformed: %v", err)
+		t.Errorf("malformed JSON: error %v, want a json.SyntaxError", err)
 	}
 }
 
-// Guards that names outside the lists are rejected with their key and value.
+// Guards that an unknown name of an enumerated value is rejected with an error that names the key
+// and the value.
 func TestDecodeErrorsNameUnknownValues(t *testing.T) {
 	for key, want := range map[string]string{
 		"effect": `malformed: effect: unknown value "maybe"`,
@@ -141,10 +142,10 @@
 		_, err := config.Decode([]byte(`{"classes":[{"` + key + `":"maybe"}]}`))
 		var keyError *config.KeyError
 		if !errors.As(err, &keyError) || keyError.Key != key || !errors.Is(err, config.ErrUnknownValue) {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("%s: error %v, want ErrUnknownValue for key %s", key, err, key)
 		}
 		if err != nil && err.Error() != want {
-			t.Errorf("%s: %q, want %q", key, err, want)
+			t.Errorf("%s: error %q, want %q", key, err, want)
 		}
 	}
 }
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -2,16 +2,17 @@
 
 import "swiftpitch/internal/policy"
 
-// loadReportsByPull is the [LoadReports] channel on which reports come with health checks only.
+// loadReportsByPull is the [LoadReports.Channel] with which load reports come only with health
+// checks.
 const loadReportsByPull = "pull"
 
 // DiscoveryPolled is the [Settings.DiscoveryMode] in which discovery is one service for the
-// fleet, which sends nothing unless it is asked: the edge node polls it, the policy
-// subscribes.
+// whole fleet and sends updates only on request. The edge node polls it; the policy must
+// subscribe.
 const DiscoveryPolled = "ask"
 
-// Policy returns the settings of the policy. The seed is that of this incarnation's random
-// numbers.
+// Policy returns the settings for [policy.New]. The seed is that of the random numbers of this
+// run of the node.
 func (s *Settings) Policy(seed uint64) policy.Settings {
 	settings := policy.Settings{
 		Seed:                      seed,
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,8 +1,8 @@
-// Package config decodes and checks what an edge node is started with: the settings object,
-// which the simulator's wire and the configuration file share, and the configuration file
-// itself. Its errors name the key at fault, see [KeyError].
+// Package config decodes and checks the configuration file of an edge node and the settings
+// object, which is part of the file and of the simulator's messages. Its errors name the key at
+// fault, see [KeyError].
 //
-// Nothing here keeps state: every function may be called from any goroutine.
+// The package keeps no state: every function may be called from any goroutine.
 package config
 
 import (
@@ -13,12 +13,12 @@
 	"swiftpitch/internal/policy"
 )
 
-// MaxBodyBytes is the largest body of a request or of a response, in bytes. Longer ones are
-// not passed on.
+// MaxBodyBytes is the largest body of a request or of a response, in bytes. Messages with a
+// larger body are not forwarded.
 const MaxBodyBytes = 64 << 10
 
-// Settings is the settings object. Keys that neither program has a use for are left out and
-// ignored. On the wire and in the file durations are nanoseconds.
+// Settings is the settings object. Unknown keys are ignored. In JSON, durations are integers in
+// nanoseconds.
 type Settings struct {
 	Gateways      int           `json:"nInstances"`
 	GatewayIndex  int           `json:"rank"`
@@ -34,7 +34,7 @@
 	LoadReports   LoadReports   `json:"report"`
 }
 
-// Class is one kind of request.
+// Class holds the settings of one class of requests.
 type Class struct {
 	Name             string        `json:"name"`
 	LatencyObjective time.Duration `json:"aim"`
@@ -47,7 +47,7 @@
 	DedupWindow      time.Duration `json:"window"`
 }
 
-// Plan is the quota and the hard limit of a tenant.
+// Plan holds the quota and the hard limit of the tenants that have the plan.
 type Plan struct {
 	Name               string  `json:"name"`
 	Burst              float64 `json:"depth"`
@@ -61,8 +61,8 @@
 	Rate               float64 `json:"refill"`
 }
 
-// EndpointRules holds the figures of the service's rules: how discovery, draining and slow start
-// behave.
+// EndpointRules describes how endpoints drain, start slowly and react to overload, and how long
+// a gateway may be without a subscription to discovery.
 type EndpointRules struct {
 	SubscriptionTimeout time.Duration `json:"askEvery"`
 	SlowStartCapacity   float64       `json:"coldFrom"`
@@ -72,7 +72,7 @@
 	SlowStartDuration   time.Duration `json:"warmUp"`
 }
 
-// Accounting holds the figures of this kind of service.
+// Accounting describes how the units of requests are counted.
 type Accounting struct {
 	CounterEnabled      bool          `json:"counter"`
 	CounterTimeout      time.Duration `json:"countWait"`
@@ -81,7 +81,7 @@
 	ActualUnitsReported bool          `json:"truedUp"`
 }
 
-// Limits is what the site permits.
+// Limits holds the features and limits that a site permits.
 type Limits struct {
 	AllowCancel         bool          `json:"cancel"`
 	DialTimeout         time.Duration `json:"dialTimeout"`
@@ -93,12 +93,12 @@
 	AllowHedging        bool          `json:"secondCopies"`
 }
 
-// Costs holds what an attempt can cost.
+// Costs holds the costs of attempts.
 type Costs struct {
 	CrossZone float64 `json:"crossZone"`
 }
 
-// LoadReports says how load reports come: "piggyback", "pull" or "silent".
+// LoadReports tells how endpoints deliver load reports: "piggyback", "pull" or "silent".
 type LoadReports struct {
 	Channel string `json:"via"`
 }
@@ -106,8 +106,8 @@
 // Idempotency is a [policy.Idempotency] that is decoded from its name.
 type Idempotency policy.Idempotency
 
-// DedupScope is a [policy.DedupScope] that is decoded from its name; an empty name is the
-// whole fleet.
+// DedupScope is a [policy.DedupScope] that is decoded from its name. The empty name stands for
+// [policy.DedupFleet].
 type DedupScope policy.DedupScope
 
 var idempotencyByName = map[string]policy.Idempotency{
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// Decode reads a settings object. It checks the form alone: whether the values make sense is
-// for [policy.New] to say.
+// Decode parses a settings object. It checks only the JSON types and the names of enumerated
+// values; [policy.New] checks the other values.
 func Decode(text []byte) (*Settings, error) {
 	settings := &Settings{}
 	if err := json.Unmarshal(text, settings); err != nil {
