--- a/cmd/edgenode/main.go
+++ b/cmd/edgenode/main.go
@@ -1,9 +1,9 @@
-// Command edgenode is one edge node: it forwards clients' requests to the booking servers that
-// discovery lists, as the policy decides.
+// Command edgenode runs one edge node, which forwards clients' requests to the booking servers
+// listed by discovery, as the policy decides.
 //
-// It takes its configuration from the file that the environment variable RELAY_CONFIG names.
-// SIGHUP makes it read the file again and move to the addresses named there; SIGTERM and
-// SIGINT begin a graceful shutdown.
+// It reads its configuration from the file that the environment variable RELAY_CONFIG names.
+// SIGHUP makes it read the file again and use the addresses of discovery and of the counter
+// given there. SIGTERM and SIGINT start a graceful shutdown.
 package main
 
 import (
@@ -24,7 +24,7 @@
 )
 
 func main() {
-	// SIGHUP is caught first of all: uncaught it would end the process.
+	// SIGHUP is caught before anything else, because it ends the process if it is not caught.
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	if err := run(hangup); err != nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-// run serves until a signal ends the node, and reloads its configuration at each hangup.
+// run serves until SIGTERM or SIGINT, and reloads the configuration at each signal on hangup.
 func run(hangup <-chan os.Signal) error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	path := os.Getenv(config.FileVariable)
@@ -52,7 +52,8 @@
 	return node.Run(ctx)
 }
 
-// load reads the configuration file and turns it into the node's configuration.
+// load reads the configuration file and returns the configuration of the node and the limits of
+// the process.
 func load(path string) (edge.Config, config.ProcessLimits, error) {
 	file, err := config.Load(path)
 	if err != nil {
@@ -77,37 +78,38 @@
 	}, file.ProcessLimits, nil
 }
 
-// addressUpdater is what a new configuration acts on, an [edge.Node].
+// addressUpdater receives the addresses of a reloaded configuration; implemented by [edge.Node].
 type addressUpdater interface {
 	ChangeAddresses(discovery, counter string)
 }
 
-// reload reads the configuration anew at each signal until the channel is closed. One that
-// can't be used changes nothing.
+// reload reads the configuration file again at each signal until the channel is closed. An
+// invalid file is logged and changes nothing.
 func reload(hangup <-chan os.Signal, path string, node addressUpdater, log *slog.Logger) {
 	for range hangup {
 		cfg, _, err := load(path)
 		if err != nil {
-			log.Error("kept the old configuration", "err", err)
+			log.Error("configuration not reloaded", "err", err)
 			continue
 		}
 		node.ChangeAddresses(cfg.Discovery, cfg.Counter)
-		log.Info("took the new configuration", "discovery", cfg.Discovery, "counter", cfg.Counter)
+		log.Info("configuration reloaded", "discovery", cfg.Discovery, "counter", cfg.Counter)
 	}
 }
 
-// heapLimitFraction is the part of the memory limit that the runtime is told to stay below. Over half
-// of it is priced, and the kernel's part and the stacks come on top of the heap.
-const heapLimitFraction = 0.4
+// memoryLimitFraction is the fraction of the process's memory limit that the Go runtime is told
+// to stay below. Memory use above half of the limit adds to the cost of the node, and the
+// kernel's memory and the stacks come on top of the heap.
+const memoryLimitFraction = 0.4
 
-// applyRuntimeLimits tells the runtime the limits of the process. The garbage collector keeps
-// its usual pace: run more seldom it lets the process grow through a long day, and growth is
-// priced as well.
+// applyRuntimeLimits sets the limits of the Go runtime from the limits of the process. The
+// garbage collector keeps its default pace: with less frequent collections the process would
+// grow throughout a long run, and growth also adds to the cost.
 func applyRuntimeLimits(limits config.ProcessLimits) {
 	if limits.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(limits.Cores)))
 	}
 	if limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(heapLimitFraction * float64(limits.MemoryBytes())))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(limits.MemoryBytes())))
 	}
 }
--- a/cmd/edgenode/main_test.go
+++ b/cmd/edgenode/main_test.go
@@ -14,10 +14,10 @@
 	"swiftpitch/internal/config"
 )
 
-// Environment variables that make the test binary run the program itself, see TestMain.
+// Environment variables that make the test binary run edgenode instead of the tests, see TestMain.
 const (
 	runMainVariable   = "EDGENODE_TEST_MAIN"
-	fileLimitVariable = "EDGENODE_TEST_FILES" // file descriptors that the process may hold
+	fileLimitVariable = "EDGENODE_TEST_FILES" // maximum number of open file descriptors
 )
 
 const validConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"8c1f30d27a5be964",
@@ -26,7 +26,8 @@
  "settings":{"limits":{"maxAttempts":2},"tiersOfService":[{"name":"p"}],"nInstances":2,
   "familyInfo":{"counter":true},"classes":[{"name":"c","effect":"once","aim":1000000}]}}`
 
-// TestMain runs the tests, or the program itself in a process that a test has started for that.
+// TestMain runs the tests, or edgenode in a process that a test has started with
+// runMainVariable.
 func TestMain(m *testing.M) {
 	if os.Getenv(runMainVariable) == "" {
 		os.Exit(m.Run())
@@ -54,7 +55,8 @@
 	}
 }
 
-// Guards the reading of the configuration, and that each fault in it is an error of one line.
+// Guards that a valid configuration is read, and that each kind of invalid one gives an error of
+// one line.
 func TestLoadReadsConfigurationAndReportsFaults(t *testing.T) {
 	t.Setenv(config.ListenVariable, "")
 	t.Setenv(config.DiscoveryVariable, "")
@@ -64,7 +66,7 @@
 	}
 	if cfg.Seed != 0x8c1f30d27a5be964 || limits.Sockets != 1024 || len(cfg.Known.Instances) != 1 ||
 		cfg.Settings.Gateways != 2 || cfg.Settings.Classes[0].Name != "c" {
-		t.Errorf("%+v, %+v", cfg, limits)
+		t.Errorf("configuration %+v, limits %+v, want the values of validConfig", cfg, limits)
 	}
 	for name, text := range map[string]string{
 		"form":      validConfig[:20],
@@ -80,12 +82,12 @@
 		"ports":     strings.Replace(validConfig, `"counter":"127.0.0.1:9"`, `"counter":"127.0.0.1:9:9"`, 1),
 	} {
 		if _, _, err := load(writeConfig(t, text)); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("invalid %s: error %v, want one line", name, err)
 		}
 	}
 	for _, path := range []string{"", filepath.Join(t.TempDir(), "none")} {
 		if _, _, err := load(path); err == nil {
-			t.Errorf("%q is no configuration", path)
+			t.Errorf("no error for the configuration path %q, where there is no file", path)
 		}
 	}
 }
@@ -96,8 +98,8 @@
 // ChangeAddresses implements addressUpdater.
 func (a addressRecorder) ChangeAddresses(discovery, counter string) { a <- discovery + " " + counter }
 
-// Guards the signal for a new configuration: a file that can't be used changes nothing, and the
-// next valid one takes effect.
+// Guards that a reload of an invalid configuration changes nothing, and that the next valid one
+// takes effect.
 func TestReloadIgnoresInvalidConfigurations(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	hangup := make(chan os.Signal)
@@ -113,7 +115,7 @@
 	for _, text := range []string{validConfig, validConfig[:30], invalid, newDiscovery} {
 		rewriteConfig(t, path, text)
 		hangup <- syscall.SIGHUP
-		hangup <- syscall.SIGHUP // accepted only after the first one has been handled
+		hangup <- syscall.SIGHUP // received only after the first one has been handled
 		if text == validConfig {
 			<-updates
 			<-updates
@@ -122,18 +124,18 @@
 	close(hangup)
 	<-done
 	if len(updates) < 2 {
-		t.Errorf("%d updates to the new addresses", len(updates))
+		t.Errorf("%d updates after the last valid configuration, want 2 at least", len(updates))
 	}
 	close(updates)
 	for got := range updates {
 		if got != "127.0.0.1:8 127.0.0.1:9" {
-			t.Errorf("moved to %q", got)
+			t.Errorf("changed to the addresses %q, want %q", got, "127.0.0.1:8 127.0.0.1:9")
 		}
 	}
 }
 
-// Guards the running program: SIGHUP, twice and also during the graceful shutdown, does not end
-// it, and SIGTERM does with exit code 0.
+// Guards the signals of the running program: SIGHUP reloads the configuration and does not end
+// it, not even during the graceful shutdown, and SIGTERM ends it with exit code 0.
 func TestSIGHUPReloadsAndSIGTERMShutsDown(t *testing.T) {
 	path := writeConfig(t, validConfig)
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
@@ -145,10 +147,10 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	signalAfter := map[string]syscall.Signal{ // by part of a log line
-		"msg=serving":  syscall.SIGHUP,
-		`msg="took`:    syscall.SIGTERM,
-		"msg=draining": syscall.SIGHUP,
+	signalAfter := map[string]syscall.Signal{ // by part of the log line after which it is sent
+		"msg=serving":                  syscall.SIGHUP,
+		`msg="configuration reloaded"`: syscall.SIGTERM,
+		"msg=draining":                 syscall.SIGHUP,
 	}
 	var lines []string
 	for input := bufio.NewScanner(log); input.Scan(); {
@@ -162,6 +164,6 @@
 		}
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("%v after %q", err, lines)
+		t.Errorf("the process ended with %v, want exit code 0; log: %q", err, lines)
 	}
 }
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -12,11 +12,11 @@
 // between zero and that bound. The fields must be set before the first call. A Backoff is
 // not safe for concurrent use.
 type Backoff struct {
-	Min  time.Duration // bound of the first delay
-	Max  time.Duration // bound that no delay exceeds
+	Min  time.Duration // upper bound of the first delay
+	Max  time.Duration // upper bound of every delay
 	Rand *rand.Rand    // source of the jitter
 
-	bound time.Duration // of the next delay; 0: Min
+	bound time.Duration // upper bound of the next delay; 0 stands for Min
 }
 
 // Next returns the delay before the next retry.
@@ -26,5 +26,5 @@
 	return time.Duration(b.Rand.Float64() * float64(bound))
 }
 
-// Reset records a success: the delay after the next failure is bounded by Min again.
+// Reset records a success: the bound of the next delay is Min again.
 func (b *Backoff) Reset() { b.bound = 0 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -20,29 +20,30 @@
 		}
 		b.Next()
 		if longest > bound || longest < bound*9/10 {
-			t.Errorf("the longest of many delays is %d, want about %d", longest, bound)
+			t.Errorf("longest of 1000 delays is %d, want from %d to %d", longest, bound*9/10, bound)
 		}
 	}
 	b.Reset()
 	if delay := b.Next(); delay > 100 {
-		t.Errorf("after a success %d, want 100 at most", delay)
+		t.Errorf("delay after a success is %d, want 100 at most", delay)
 	}
 }
 
-// The model of this test is a service that takes 15 calls a second in turn, also those that
-// their callers gave up after 2 s. All callers start in step.
+// Guards against callers that fail together and then overload the service by retrying together.
+// The test models a service that processes 15 calls a second one at a time, including calls that
+// their callers gave up after 2 s. All callers start at the same time.
 func TestCallersThatStartTogetherAreAllServed(t *testing.T) {
 	const callers = 80
 	if served := servedCallers(callers, false); served < callers {
-		t.Errorf("%d of %d were served within 30 s", served, callers)
+		t.Errorf("with a Backoff %d of %d callers were served within 30 s, want all", served, callers)
 	}
 	if served := servedCallers(callers, true); served > callers/2 {
-		t.Errorf("with fixed delays %d of %d were served: the model proves nothing", served, callers)
+		t.Errorf("with fixed delays %d of %d callers were served, want half at most, or the model does not show the overload", served, callers)
 	}
 }
 
-// servedCallers is how many calls the service answers in time within 30 s, where the callers
-// retry after fixed delays or after those of a Backoff.
+// servedCallers returns how many callers the service answers within their timeout in 30 s. The
+// callers retry after a fixed delay or after the delays of a Backoff.
 func servedCallers(callers int, fixed bool) int {
 	const (
 		serviceTime = time.Second / 15
