--- a/cmd/edgenode/filelimit_test.go
+++ b/cmd/edgenode/filelimit_test.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	fileLimit         = 64 // file descriptors that the process may hold
-	endpointFiles     = 24 // of these for endpoints
-	clientFiles       = 24 // and for clients
+	fileLimit         = 64 // file descriptors that the process may open
+	endpointFiles     = 24 // of these for connections to endpoints
+	clientFiles       = 24 // of these for connections of clients
 	idleClients       = 150
-	maxIdleReconnects = 9 // of each idle client whose connection is closed
-	openFilesSamples  = 200
+	maxIdleReconnects = 9   // per idle client, after the node closes its connection
+	openFilesSamples  = 200 // counts of open descriptors from which the largest is taken
 )
 
-// Guards the descriptors: idle clients take all that they may while discovery, the counter and
-// an endpoint are down. The process stays up and answers the requests that it has received;
-// what is left holds all the connections to endpoints that there may be, so that accepting
-// never fails for want of one; and it gets its connections to discovery, the counter and the
-// endpoint as soon as these are back.
+// Guards against idle clients that use up the file descriptors. They take all that are available
+// to clients while discovery, the counter and an endpoint are down. The process must stay up and
+// answer the requests it has received; the remaining descriptors must suffice for the maximum
+// number of connections to endpoints, so that accept never fails for lack of descriptors; and the
+// process must connect to discovery, the counter and the endpoint as soon as they are back.
 func TestIdleClientsLeaveDescriptorsForOtherConnections(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) { testIdleClients(t, mode) })
 	}
 }
 
-// testIdleClients runs the test in one of discovery's modes.
+// testIdleClients runs the test in one mode of discovery.
 func testIdleClients(t *testing.T, discoveryMode string) {
 	discovery, counter := newReservedAddress(t), newReservedAddress(t)
 	knownEndpoint, newEndpoint := newReservedAddress(t), newReservedAddress(t)
@@ -59,14 +59,14 @@
 	checkFreeFiles(t, node)
 	close(release)
 	if body := <-answered; body != "known<nil>" {
-		t.Errorf("the request received before is answered %s", body)
+		t.Errorf("the request received before the idle clients came was answered %q, want %q", body, "known<nil>")
 	}
 
 	counterCalls := serveCounter(counter)
 	newEndpoint.serve(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "new") })
 	discoveryCalls := serveDiscovery(discovery, newEndpoint)
 	requests := 0
-	testsupport.Eventually(t, "an answer by the endpoint that discovery lists now", func() bool {
+	testsupport.Eventually(t, "an answer of the new endpoint", func() bool {
 		requests++
 		body, err := node.request(t.Context(), fmt.Sprintf("%016x", 0xb0+requests))
 		return err == nil && body == "new"
@@ -77,7 +77,8 @@
 	node.shutDown(t)
 }
 
-// serveCounter begins to serve as the counter and returns a channel that takes the first call.
+// serveCounter starts a counter at the address and returns a channel that receives the request
+// URI of the first call.
 func serveCounter(counter *reservedAddress) (calls <-chan string) {
 	first := make(chan string, 1)
 	counter.serve(func(w http.ResponseWriter, req *http.Request) {
@@ -87,8 +88,9 @@
 	return first
 }
 
-// serveDiscovery begins to serve as discovery, which lists one endpoint and then nothing newer.
-// It returns a channel that takes the first call.
+// serveDiscovery starts a discovery service at the address. It lists one endpoint, and holds calls
+// that ask for later changes until they are canceled. It returns a channel that receives the
+// request URI of the first call.
 func serveDiscovery(discovery, listed *reservedAddress) (calls <-chan string) {
 	first := make(chan string, 1)
 	discovery.serve(func(w http.ResponseWriter, req *http.Request) {
@@ -102,7 +104,7 @@
 	return first
 }
 
-// fileLimitConfig returns the configuration of a node that knows one endpoint.
+// fileLimitConfig returns the configuration of a node with one endpoint in its cached list.
 func fileLimitConfig(discoveryMode string, discovery, counter, knownEndpoint *reservedAddress) string {
 	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
  "limits":{"cores":1,"memory_mb":192,"sockets":%d},"counter":%q,
@@ -114,28 +116,29 @@
 		discovery.address, fileLimit, counter.address, instanceJSON("known", knownEndpoint), discoveryMode)
 }
 
-// instanceJSON returns discovery's entry for an endpoint.
+// instanceJSON returns the entry of an endpoint in discovery's list.
 func instanceJSON(id string, endpoint *reservedAddress) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"lifecycle":"SERVING","weight":1,"startedAtMs":0}`, id, endpoint.address)
 }
 
-// checkFreeFiles waits until the idle clients hold all descriptors that they may, and checks
-// that those left suffice for the endpoints, discovery and the counter.
+// checkFreeFiles waits until the idle clients hold all descriptors that clients may use, and
+// checks that the remaining ones suffice for the endpoints, discovery and the counter.
 func checkFreeFiles(t *testing.T, node *nodeProcess) {
 	t.Helper()
-	testsupport.Eventually(t, "the descriptors for clients to be used up", func() bool { return node.openFiles(t) >= clientFiles })
+	testsupport.Eventually(t, "use of all descriptors for clients", func() bool { return node.openFiles(t) >= clientFiles })
 	maxOpen := 0
 	for range openFilesSamples {
 		maxOpen = max(maxOpen, node.openFiles(t))
 	}
 	if maxOpen+endpointFiles+2 > fileLimit {
-		t.Errorf("%d of %d descriptors are in use, %d more may be for endpoints, 2 for discovery and the counter",
+		t.Errorf("%d of %d descriptors are open, want %d left for endpoints and 2 for discovery and the counter",
 			maxOpen, fileLimit, endpointFiles)
 	}
 }
 
-// startIdleClients connects idle clients to an address until ctx ends, and returns when each has
-// connected or failed to. Half of them send the beginning of a request, the others nothing.
+// startIdleClients starts idle clients that stay connected to an address until ctx ends. It returns
+// when each has connected or failed to connect. Half of them send the first bytes of a request, the
+// others send nothing.
 func startIdleClients(ctx context.Context, t *testing.T, address string) {
 	t.Helper()
 	var all, connected sync.WaitGroup
@@ -151,8 +154,9 @@
 	connected.Wait()
 }
 
-// runIdleClient connects, and again a few times where its connection is closed, until ctx ends
-// or it can't connect. It calls connected after the first time.
+// runIdleClient connects to an address, and reconnects up to maxIdleReconnects times when the
+// connection is closed. It returns when ctx ends or a connection fails. It calls connected after
+// the first attempt to connect.
 func runIdleClient(ctx context.Context, address, firstBytes string, connected func()) {
 	dialer := net.Dialer{Timeout: testsupport.MaxWait}
 	for k := range 1 + maxIdleReconnects {
@@ -173,7 +177,8 @@
 	}
 }
 
-// notifyFirst sends the first of some messages; the others are dropped, so that nobody waits.
+// notifyFirst sends a message to a channel with a buffer for one, or drops it if the buffer is full,
+// so that handlers never block.
 func notifyFirst(messages chan<- string, message string) {
 	select {
 	case messages <- message:
@@ -181,7 +186,7 @@
 	}
 }
 
-// expectCall waits for a call of the process to one of its peers.
+// expectCall waits for the first call of the process to a peer.
 func expectCall(t *testing.T, peer string, calls <-chan string) {
 	t.Helper()
 	testsupport.Receive(t, "a call to "+peer, calls)
--- a/cmd/edgenode/process_test.go
+++ b/cmd/edgenode/process_test.go
@@ -17,8 +17,8 @@
 	"swiftpitch/internal/testsupport"
 )
 
-// reservedAddress is an address of the loopback interface at which nobody listens until serve
-// is called, so that connections to it are refused.
+// reservedAddress is an address of the loopback interface at which connections are refused until
+// serve is called. Its socket is bound, so that no other process can use the address.
 type reservedAddress struct {
 	t       *testing.T
 	socket  int
@@ -50,7 +50,7 @@
 		r.t.Fatal(err)
 	}
 	file := os.NewFile(uintptr(r.socket), r.address)
-	listener, err := net.FileListener(file) // has a descriptor of its own
+	listener, err := net.FileListener(file) // duplicates the descriptor
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -60,13 +60,13 @@
 	r.t.Cleanup(func() { server.Close() })
 }
 
-// nodeProcess is the program running in a process of its own.
+// nodeProcess is edgenode in a process of its own.
 type nodeProcess struct {
 	cmd     *exec.Cmd
 	address string // for clients
 }
 
-// startNode starts the program, with a limit of file descriptors, and waits until it serves.
+// startNode starts edgenode with a limit on open file descriptors, and waits until it listens.
 func startNode(t *testing.T, configPath string, maxFiles int) *nodeProcess {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
@@ -92,7 +92,7 @@
 	return node
 }
 
-// request sends one request on a connection of its own and returns the body of the answer.
+// request sends one request on a new connection and returns the body of the answer.
 func (p *nodeProcess) request(ctx context.Context, id string) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.address+"/c/x", nil)
 	if err != nil {
@@ -118,21 +118,21 @@
 	return string(body), err
 }
 
-// openFiles returns how many file descriptors the process holds.
+// openFiles returns the number of open file descriptors of the process.
 func (p *nodeProcess) openFiles(t *testing.T) int {
 	t.Helper()
 	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
-		t.Fatalf("the process has ended: %v", err)
+		t.Fatalf("reading the open files of the process, which may have ended: %v", err)
 	}
 	return len(files)
 }
 
-// shutDown ends the process by SIGTERM and checks that it ends without an error.
+// shutDown sends SIGTERM to the process and checks that it exits with code 0.
 func (p *nodeProcess) shutDown(t *testing.T) {
 	t.Helper()
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	if err := p.cmd.Wait(); err != nil {
-		t.Errorf("the process ends with %v", err)
+		t.Errorf("after SIGTERM the process ended with %v, want exit code 0", err)
 	}
 }
