--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -11,10 +11,10 @@
 	"swiftpitch/internal/policy"
 )
 
-// inputBufferSize is the size in bytes of the input's buffer; most batches fit into it.
+// inputBufferSize is the size of the input buffer in bytes. Most batches fit into it.
 const inputBufferSize = 1 << 20
 
-// run answers batches until the input ends.
+// run reads batches from in and writes the replies to out until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	adapter := newAdapter()
 	input := bufio.NewReaderSize(in, inputBufferSize)
@@ -39,15 +39,15 @@
 	}
 }
 
-// adapter holds the policy's instances of this process and the batch at hand. It has no
-// goroutines and is used from one.
+// adapter holds the instances of the policy and the current batch. It starts no goroutines and
+// is not safe for concurrent use.
 type adapter struct {
-	now                  policy.Time
-	instances            map[int]*policy.Gateway
-	endpointListByNumber map[int][]policy.Endpoint // by the number under which Inventory gave them
-	batchOpen            bool
-	reply                []byte          // to the batch; its memory is used again
-	actions              []policy.Action // of one event; its memory is used again
+	now                  policy.Time               // time of the current or last batch
+	instances            map[int]*policy.Gateway   // by instance ID
+	endpointListByNumber map[int][]policy.Endpoint // lists of the Inventory messages
+	batchOpen            bool                      // between Round and Go
+	reply                []byte                    // to the current batch; reused for the next one
+	actions              []policy.Action           // of one event; reused for the next one
 }
 
 func newAdapter() *adapter {
@@ -57,7 +57,8 @@
 	}
 }
 
-// checkComplete returns an error if the input ends, after its given last line, inside a batch.
+// checkComplete returns an error if the input ended inside a batch; lastLine is the number of its
+// last line.
 func (a *adapter) checkComplete(lastLine int) error {
 	if a.batchOpen {
 		return &lineError{Line: lastLine, Err: errInputEndsInBatch}
@@ -65,8 +66,8 @@
 	return nil
 }
 
-// handleLine handles one line. It returns the reply if the line completes a batch, else nothing;
-// the reply is valid until the next call.
+// handleLine handles one line. It returns the reply if the line completes a batch, else nil. The
+// reply is valid until the next call.
 func (a *adapter) handleLine(line []byte) (reply []byte, err error) {
 	var m message
 	if err := json.Unmarshal(line, &m); err != nil {
@@ -78,7 +79,7 @@
 	case m.Name == messageGo && a.batchOpen:
 		return a.completeBatch(), nil
 	case m.Name == messageRound || !a.batchOpen:
-		return nil, fmt.Errorf("%q %w", m.Name, errWrongBatchState)
+		return nil, fmt.Errorf("%q: %w", m.Name, errWrongBatchState)
 	case m.Name == messageInventory:
 		return nil, a.storeEndpoints(&m)
 	default:
@@ -86,14 +87,14 @@
 	}
 }
 
-// beginBatch sets the time of a new batch.
+// beginBatch starts a batch and sets its time.
 func (a *adapter) beginBatch(m *message) error {
 	if m.Time == nil {
-		return &messageError{Name: m.Name, Err: errors.New("no simTime")}
+		return &messageError{Name: m.Name, Err: errors.New("simTime is missing")}
 	}
 	now := policy.Time(*m.Time)
 	if now < a.now {
-		return &messageError{Name: m.Name, Err: fmt.Errorf("simTime %d goes back", *m.Time)}
+		return &messageError{Name: m.Name, Err: fmt.Errorf("simTime %d is before that of the previous batch", *m.Time)}
 	}
 	a.now = now
 	a.batchOpen = true
@@ -101,14 +102,14 @@
 	return nil
 }
 
-// completeBatch ends the batch and returns its reply.
+// completeBatch ends the current batch and returns its reply.
 func (a *adapter) completeBatch() []byte {
 	a.batchOpen = false
 	a.reply = append(a.reply, endLine...)
 	return a.reply
 }
 
-// storeEndpoints keeps a numbered list of endpoints, to which later messages refer.
+// storeEndpoints stores a numbered list of endpoints, to which later messages refer.
 func (a *adapter) storeEndpoints(m *message) error {
 	endpoints, err := m.endpoints()
 	if err != nil {
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// handleInstanceMessage handles a message to one instance.
+// handleInstanceMessage handles a message for one instance.
 func (a *adapter) handleInstanceMessage(m *message) error {
 	if m.InstanceID == nil {
 		return fmt.Errorf("%q: %w", m.Name, errNoInstanceID)
@@ -145,7 +146,7 @@
 	return a.step(id, instance, event)
 }
 
-// startInstance starts an instance, in place of one of the same number if there is one.
+// startInstance starts an instance. It replaces an instance with the same ID.
 func (a *adapter) startInstance(id int, m *message) error {
 	settings, err := config.Decode(m.Settings)
 	if err != nil {
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// step hands an event to an instance and appends its actions to the reply.
+// step passes an event to an instance and appends the resulting actions to the reply.
 func (a *adapter) step(id int, instance *policy.Gateway, event policy.Event) error {
 	a.actions = instance.Step(a.now, event, a.actions[:0])
 	for _, action := range a.actions {
--- a/cmd/simadapter/decode.go
+++ b/cmd/simadapter/decode.go
@@ -7,11 +7,11 @@
 	"swiftpitch/internal/policy"
 )
 
-// messageEndpointsUpdated is the one event that refers to an earlier message.
+// messageEndpointsUpdated is the name of the only event message that refers to an earlier message.
 const messageEndpointsUpdated = "BackendsChanged"
 
-// eventDecoders has, by the name of a message, what turns it into an event. A nil event is one
-// that the policy has no use for.
+// eventDecoders maps the name of a message to the function that converts it to an event. The
+// event is nil if the policy ignores such messages.
 var eventDecoders = map[string]func(*message) (policy.Event, error){
 	"Accept":       decodeRequestReceived,
 	"Response":     decodeAttemptEnded,
@@ -20,10 +20,10 @@
 	"ClientLeft":   decodeClientDisconnected,
 	"Reminder":     decodeTimerFired,
 	"Sum":          decodeCounterReplied,
-	"PeerData":     ignoreMessage, // the policy never talks to its peers
+	"PeerData":     ignoreMessage, // gateways do not exchange data with each other
 }
 
-// Values on the wire and their meanings.
+// Enumerated values of the messages.
 var (
 	updateScopeByName = map[string]policy.UpdateScope{
 		"Partial":   policy.IncrementalUpdate,
@@ -48,7 +48,7 @@
 	}
 )
 
-// decodeEvent turns a message into an event, nil if the policy has no use for it.
+// decodeEvent converts a message to an event, which is nil if the policy ignores such messages.
 func (a *adapter) decodeEvent(m *message) (policy.Event, error) {
 	if m.Name == messageEndpointsUpdated {
 		return a.decodeEndpointsUpdated(m)
@@ -60,7 +60,7 @@
 	return decode(m)
 }
 
-// decodeEndpointsUpdated takes the endpoints from the list that an earlier message gave.
+// decodeEndpointsUpdated takes the endpoints from the list of an earlier Inventory message.
 func (a *adapter) decodeEndpointsUpdated(m *message) (policy.Event, error) {
 	scope, ok := updateScopeByName[m.Scope]
 	if !ok {
@@ -71,14 +71,14 @@
 	}
 	endpoints, ok := a.endpointListByNumber[m.ListNumber]
 	if !ok {
-		return nil, fmt.Errorf("page %d was never listed", m.ListNumber)
+		return nil, fmt.Errorf("no earlier Inventory message has page %d", m.ListNumber)
 	}
 	return policy.EndpointsUpdated{Scope: scope, Endpoints: endpoints}, nil
 }
 
 func decodeRequestReceived(m *message) (policy.Event, error) {
 	if m.RequestID == "" || m.Timeout < 0 || m.Units < 0 {
-		return nil, errors.New("no xid, or negative ttl or quotaUnits")
+		return nil, errors.New("xid is missing, or ttl or quotaUnits is negative")
 	}
 	return policy.RequestReceived{
 		RequestID:      m.RequestID,
@@ -159,7 +159,7 @@
 	return outcome, nil
 }
 
-// loadReport returns the load report that came with a message, empty if none came.
+// loadReport returns the load report of a message, empty if it has none.
 func (m *message) loadReport() policy.LoadReport {
 	if m.LoadReport == nil {
 		return policy.LoadReport{}
@@ -178,7 +178,7 @@
 	for _, entry := range m.Endpoints {
 		state, ok := endpointStateByName[entry.State]
 		if !ok || entry.ID == "" {
-			return nil, fmt.Errorf("server %q in unknown state %q", entry.ID, entry.State)
+			return nil, fmt.Errorf("server %q with state %q: no ID or unknown state", entry.ID, entry.State)
 		}
 		endpoints = append(endpoints, policy.Endpoint{
 			ID:        entry.ID,
--- a/cmd/simadapter/encode.go
+++ b/cmd/simadapter/encode.go
@@ -7,7 +7,7 @@
 	"swiftpitch/internal/policy"
 )
 
-// appendAction appends the wire form of one action to a reply, as a line of its own.
+// appendAction appends the wire form of an action to a reply, as one line.
 func appendAction(reply []byte, instanceID int, action policy.Action) ([]byte, error) {
 	form, err := wireForm(instanceID, action)
 	if err != nil {
@@ -21,7 +21,7 @@
 	return append(reply, '\n'), nil
 }
 
-// wireForm returns the wire form of one action.
+// wireForm returns the value whose JSON text is the wire form of an action.
 func wireForm(instanceID int, action policy.Action) (any, error) {
 	header := func(name string) replyHeader {
 		return replyHeader{Name: name, InstanceID: instanceID}
--- a/cmd/simadapter/errors.go
+++ b/cmd/simadapter/errors.go
@@ -7,12 +7,12 @@
 
 var (
 	errInputEndsInBatch = errors.New("input ends inside a batch")
-	errWrongBatchState  = errors.New("out of place")
-	errNoInstanceID     = errors.New("no nodeId")
+	errWrongBatchState  = errors.New("unexpected here, a batch begins with Round and ends with Go")
+	errNoInstanceID     = errors.New("nodeId is missing")
 	errUnknownMessage   = errors.New("unknown message")
 )
 
-// lineError is a fault in one line of the input.
+// lineError reports an invalid line of the input.
 type lineError struct {
 	Line int // from 1
 	Err  error
@@ -22,7 +22,7 @@
 
 func (e *lineError) Unwrap() error { return e.Err }
 
-// messageError is a fault in a message that is in its place.
+// messageError reports an invalid message, or one that cannot be handled.
 type messageError struct {
 	Name string // of the message
 	Err  error
@@ -32,9 +32,9 @@
 
 func (e *messageError) Unwrap() error { return e.Err }
 
-// notRunningError is a message to an instance that was never started, or was powered off.
+// notRunningError reports a message for an instance that was never started or was powered off.
 type notRunningError struct{ InstanceID int }
 
 func (e *notRunningError) Error() string {
-	return fmt.Sprintf("instance %d was never started", e.InstanceID)
+	return fmt.Sprintf("instance %d is not running", e.InstanceID)
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,9 +1,9 @@
-// Command simadapter runs instances of the policy on the simulator's wire: it reads batches of
-// messages from standard input, one JSON object a line, and answers each batch with the actions
-// of the instances on standard output.
+// Command simadapter runs instances of the policy for the simulator. It reads batches of messages
+// from standard input, one JSON object per line, and answers each batch with the actions of the
+// instances on standard output.
 //
-// A batch begins with Round, which sets the time, and ends with Go. Its answer ends with End.
-// The first faulty line ends the program with an error that names the line.
+// A batch begins with a Round message, which sets the time, and ends with Go. The reply ends with
+// End. At the first invalid line the program exits with an error that names the line.
 package main
 
 import (
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -9,12 +9,12 @@
 	"testing"
 )
 
-// TestRepliesMatchTranscripts plays the batches in testdata/*.in and compares the replies, followed by the
-// error if there is one, with *.out.
+// Guards the replies to whole inputs: the batches in testdata/*.in give the replies in *.out,
+// followed by the error if there is one.
 func TestRepliesMatchTranscripts(t *testing.T) {
 	inputs, err := filepath.Glob("testdata/*.in")
 	if err != nil || len(inputs) == 0 {
-		t.Fatal("no transcripts", err)
+		t.Fatalf("found no inputs in testdata (error %v)", err)
 	}
 	for _, input := range inputs {
 		want, err := os.ReadFile(strings.TrimSuffix(input, ".in") + ".out")
@@ -42,22 +42,22 @@
 	return out.String()
 }
 
-// Guards that an error can be traced to the line, the message and the cause.
+// Guards that an error gives the line and the message, and wraps the cause.
 func TestErrorsNameLineAndMessage(t *testing.T) {
 	const begin = `{"msg":"Round","simTime":1000}` + "\n"
 
 	err := run(strings.NewReader(begin+`{"msg":"Reminder","nodeId":9}`), io.Discard)
 	var inLine *lineError
 	if !errors.As(err, &inLine) || inLine.Line != 2 {
-		t.Errorf("%v, want an error of line 2", err)
+		t.Errorf("error %v, want a lineError of line 2", err)
 	}
 	var inMessage *messageError
 	if !errors.As(err, &inMessage) || inMessage.Name != "Reminder" {
-		t.Errorf("%v, want an error of Reminder", err)
+		t.Errorf("error %v, want a messageError of Reminder", err)
 	}
 	var notRunning *notRunningError
 	if !errors.As(err, &notRunning) || notRunning.InstanceID != 9 {
-		t.Errorf("%v, want an error of instance 9", err)
+		t.Errorf("error %v, want a notRunningError of instance 9", err)
 	}
 
 	for input, want := range map[string]error{
@@ -67,7 +67,7 @@
 		begin + `{"msg":"Reminder"}` + "\n": errNoInstanceID,
 	} {
 		if err := run(strings.NewReader(input), io.Discard); !errors.Is(err, want) {
-			t.Errorf("%q: %v, want %v", input, err, want)
+			t.Errorf("input %q: error %v, want %v", input, err, want)
 		}
 	}
 }
--- a/cmd/simadapter/wire.go
+++ b/cmd/simadapter/wire.go
@@ -7,17 +7,18 @@
 	"swiftpitch/internal/policy"
 )
 
-// Names of the messages that the adapter itself handles; decode.go has those that become events.
+// Names of the messages that the adapter handles itself. decode.go has the names of the messages
+// that are converted to events.
 const (
 	messageRound     = "Round"     // begins a batch and sets the time
 	messageGo        = "Go"        // ends a batch
-	messageInventory = "Inventory" // gives a numbered list of endpoints
+	messageInventory = "Inventory" // defines a numbered list of endpoints
 	messageStart     = "Start"     // starts an instance
 	messagePowerOff  = "PowerOff"  // ends an instance
 )
 
-// message is any message of the simulator. One type serves them all, so that each line is parsed
-// once; fields that a message lacks stay zero. Durations are nanoseconds.
+// message is a message of the simulator of any kind. A single type lets each line be parsed only
+// once; fields that a message does not have stay zero. Durations are in nanoseconds.
 type message struct {
 	Name           string          `json:"msg"`
 	InstanceID     *int            `json:"nodeId"`
@@ -69,13 +70,13 @@
 // endLine ends the reply to a batch.
 const endLine = `{"msg":"End"}` + "\n"
 
-// replyHeader begins every line of a reply but the last.
+// replyHeader holds the first fields of each line of a reply, except the last line.
 type replyHeader struct {
 	Name       string `json:"msg"`
 	InstanceID int    `json:"nodeId"`
 }
 
-// The wire forms of the actions; the order of the fields is that on the wire.
+// The wire forms of the actions. The order of the fields is the order in the JSON text.
 type (
 	startAttemptReply struct {
 		replyHeader
