--- a/internal/knownfailures/check.go
+++ b/internal/knownfailures/check.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// checkRun reads the events of a run, writes to out the output of packages and of failed tests and
-// how each listed test ended, and returns why the run failed: nil if nothing but listed tests
-// did.
+// checkRun reads the events of a test run and writes the output of packages and of failed tests,
+// and the result of each listed test, to out. It returns the reasons why the run failed, or nil
+// if nothing but listed tests failed.
 func checkRun(list []knownFailure, events io.Reader, out io.Writer) error {
 	run := newTestRun(out)
 	run.read(events)
@@ -20,13 +20,13 @@
 			errs = append(errs, err)
 		}
 	}
-	// The order of the maps is random, that of the faults is not.
+	// Maps are iterated in random order; sorting makes the output the same in every run.
 	slices.SortFunc(errs, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
 	return errors.Join(errs...)
 }
 
-// unlistedFailures returns the tests that failed without being listed, and those that never
-// finished, listed or not.
+// unlistedFailures returns an error for each test that failed and is not listed, and for each
+// test that did not finish, listed or not.
 func unlistedFailures(run *testRun, list []knownFailure) []error {
 	var errs []error
 	for id, status := range run.tests {
@@ -38,8 +38,8 @@
 	return errs
 }
 
-// packageFailures returns the packages that never finished, and those that failed without a
-// listed test to account for it.
+// packageFailures returns an error for each package that did not finish, and for each package
+// that failed although none of its listed tests did.
 func packageFailures(run *testRun, list []knownFailure) []error {
 	hasListedFailure := map[string]bool{}
 	for id, status := range run.tests {
@@ -56,10 +56,10 @@
 	return errs
 }
 
-// reportKnownFailure writes how a listed test ended. A test that does not exist, or was skipped,
-// must not be listed.
+// reportKnownFailure writes the result of a listed test. It returns an error if the test does not
+// exist or was skipped.
 func reportKnownFailure(run *testRun, known knownFailure) error {
-	var statuses []testStatus // one for each package that has such a test
+	var statuses []testStatus // one for each package that has a test of this name
 	for id, status := range run.tests {
 		if id.test == known.test {
 			statuses = append(statuses, status)
@@ -67,13 +67,13 @@
 	}
 	switch {
 	case len(statuses) == 0:
-		return fmt.Errorf("%s is listed and does not exist", known.test)
+		return fmt.Errorf("%s is listed in %s but does not exist", known.test, listFile)
 	case slices.Contains(statuses, skipped):
-		return fmt.Errorf("%s is listed and was skipped", known.test)
+		return fmt.Errorf("%s is listed in %s but was skipped", known.test, listFile)
 	case slices.Contains(statuses, failed):
 		fmt.Fprintf(run.out, "known red: %s failed: %s: %s\n", known.test, known.cause, known.issue)
 	default:
-		fmt.Fprintf(run.out, "known red: %s passed: take it off %s\n", known.test, listFile)
+		fmt.Fprintf(run.out, "known red: %s passed: remove it from %s\n", known.test, listFile)
 	}
 	return nil
 }
--- a/internal/knownfailures/check_test.go
+++ b/internal/knownfailures/check_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// packageEvents gives the events of one package in which each of some tests ends in some way.
+// packageEvents returns the events of one package. Each of ends is the name of a test and the action
+// that ends it, such as "TestA fail"; a test without an action does not finish.
 func packageEvents(pkg, packageEnds string, ends ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"Action":"start","Package":%q}`+"\n", pkg)
@@ -23,28 +24,29 @@
 	return b.String()
 }
 
+// outputEvent returns an event with output of TestA.
 func outputEvent(pkg, text string) string {
 	return fmt.Sprintf(`{"Action":"output","Package":%q,"Test":"TestA","Output":%q}`+"\n", pkg, text)
 }
 
-// Guards the check of every submission: listed tests may fail, and nothing else passes.
+// Guards the result of CI: only failures of listed tests may pass.
 func TestOnlyListedTestsMayFail(t *testing.T) {
 	const list = "TestA: a cause: issue 8\n"
 	listedFailed := packageEvents("p", "fail", "TestA fail", "TestB pass")
 	for _, c := range []struct {
 		name, list, events string
-		wantError          string // part of the error; empty: the run passes
-		wantOutput         string // part of what is written
+		wantError          string // part of the error; empty if the run passes
+		wantOutput         string // part of the output
 	}{
 		{"all pass", "", packageEvents("p", "pass", "TestA pass"), "", ""},
 		{"a listed test fails", list, listedFailed, "", "known red: TestA failed: a cause: issue 8\n"},
 		{"a listed test passes in another package", list, listedFailed + packageEvents("q", "pass", "TestA pass"), "", "TestA failed"},
-		{"a listed test passes", list, packageEvents("p", "pass", "TestA pass"), "", "TestA passed: take it off"},
+		{"a listed test passes", list, packageEvents("p", "pass", "TestA pass"), "", "TestA passed: remove it from KNOWN-RED.txt"},
 		{"a subtest of a listed test fails", list, packageEvents("p", "fail", "TestA fail", "TestA/part fail", "TestB pass"), "", "TestA failed"},
 		{"no list", "", listedFailed, "p TestA: fail", ""},
 		{"an unlisted test fails", list, packageEvents("p", "fail", "TestA fail", "TestB fail"), "p TestB: fail", "TestA failed"},
 		{"an unlisted test of another package fails", list, listedFailed + packageEvents("q", "fail", "TestC fail"), "q TestC: fail", ""},
-		{"a listed test does not exist", list, packageEvents("p", "pass", "TestB pass"), "TestA is listed and does not exist", ""},
+		{"a listed test does not exist", list, packageEvents("p", "pass", "TestB pass"), "TestA is listed in KNOWN-RED.txt but does not exist", ""},
 		{"a listed test is skipped", list, packageEvents("p", "pass", "TestA skip", "TestB pass"), "was skipped", ""},
 		{"a listed test never finishes", list, packageEvents("p", "fail", "TestA", "TestB pass"), "TestA: not finished", ""},
 		{"a package fails without a failed test", list, listedFailed + packageEvents("q", "fail", "TestC pass"), "q: fail", ""},
@@ -66,30 +68,30 @@
 		var out strings.Builder
 		err = checkRun(known, strings.NewReader(c.events), &out)
 		if (err == nil) != (c.wantError == "") || err != nil && !strings.Contains(err.Error(), c.wantError) {
-			t.Errorf("%s: %v, want %q", c.name, err, c.wantError)
+			t.Errorf("%s: error %v, want one with %q", c.name, err, c.wantError)
 		}
 		if !strings.Contains(out.String(), c.wantOutput) {
-			t.Errorf("%s: shows %q, want %q", c.name, out.String(), c.wantOutput)
+			t.Errorf("%s: output %q, want it to contain %q", c.name, out.String(), c.wantOutput)
 		}
 	}
 }
 
-// Guards what is shown: not the output of passed tests, but that of packages.
+// Guards that the output of passed tests is not printed, while that of packages is.
 func TestOutputOfPassedTestsIsHidden(t *testing.T) {
 	var out strings.Builder
 	events := outputEvent("p", "of a pass\n") + packageEvents("p", "pass", "TestA pass") +
 		`{"Action":"output","Package":"p","Output":"ok  \tp\t0.1s\n"}` + "\n"
 	if err := checkRun(nil, strings.NewReader(events), &out); err != nil || out.String() != "ok  \tp\t0.1s\n" {
-		t.Errorf("%v, says %q", err, out.String())
+		t.Errorf("error %v, output %q, want only the package's line", err, out.String())
 	}
 }
 
-// Guards the list's form.
+// Guards the form of the list: which texts are valid, and how many tests they list.
 func TestParseListRejectsMalformedLists(t *testing.T) {
 	line := func(n int) string { return fmt.Sprintf("Test%d: its cause: issue %d\n", n, n) }
 	for _, c := range []struct {
 		text string
-		want int // -1: an error
+		want int // number of tests; -1 for an error
 	}{
 		{"", 0}, {"\n", 0},
 		{line(1), 1}, {line(1) + line(2) + line(3), 3},
@@ -101,7 +103,7 @@
 	} {
 		list, err := parseList(c.text)
 		if (err != nil) != (c.want < 0) || err == nil && len(list) != c.want {
-			t.Errorf("%q: %v, %v", c.text, list, err)
+			t.Errorf("parseList(%q) = %v, error %v, want %d tests (-1: an error)", c.text, list, err, c.want)
 		}
 	}
 }
--- a/internal/knownfailures/list.go
+++ b/internal/knownfailures/list.go
@@ -7,22 +7,23 @@
 	"strings"
 )
 
-// maxKnownFailures is how many tests may be listed: with more the run would say little.
+// maxKnownFailures limits the number of listed tests: a passing run with more failures would mean
+// little.
 const maxKnownFailures = 3
 
-// knownFailure is one line of the list.
+// knownFailure is one line of the list: a test that may fail.
 type knownFailure struct {
 	test  string
 	cause string
 	issue string
 }
 
-// listLine is the form "TestName: cause: issue". Cause and issue are neither blank nor have a
-// colon.
+// listLine matches the form "TestName: cause: issue". Cause and issue must not be blank and must
+// not contain a colon.
 var listLine = regexp.MustCompile(`^(Test[A-Za-z0-9_]*): ([^:]*[^: ][^:]*): ([^:]*[^: ][^:]*)$`)
 
-// parseList reads the list of tests that may fail. Without any text, or with empty lines only,
-// the list is empty.
+// parseList parses the list of tests that may fail. If there is no text, or only empty lines, the
+// list is empty.
 func parseList(text string) ([]knownFailure, error) {
 	if strings.Trim(text, "\n") == "" {
 		return nil, nil
@@ -39,7 +40,7 @@
 		list = append(list, known)
 	}
 	if len(list) > maxKnownFailures {
-		return nil, fmt.Errorf("%d lines, %d at most", len(list), maxKnownFailures)
+		return nil, fmt.Errorf("%d tests are listed, want %d at most", len(list), maxKnownFailures)
 	}
 	return list, nil
 }
@@ -56,7 +57,7 @@
 	}, nil
 }
 
-// isListed reports whether a test, of whatever package, may fail.
+// isListed reports whether a test is listed. The list does not distinguish packages.
 func isListed(list []knownFailure, test string) bool {
 	return slices.ContainsFunc(list, func(known knownFailure) bool { return known.test == test })
 }
--- a/internal/knownfailures/main.go
+++ b/internal/knownfailures/main.go
@@ -1,9 +1,9 @@
-// Command knownfailures reads the output of `go test -json` on its standard input, shows the
-// output of packages and of failed tests, and judges the run by the file KNOWN-RED.txt of the
-// current directory: tests listed there may fail, and only these.
+// Command knownfailures decides whether a test run passes although known tests fail. It reads the
+// output of `go test -json` from standard input and prints the output of packages and of failed
+// tests. Only the tests listed in the file KNOWN-RED.txt of the current directory may fail.
 //
-// Each line of the file is "TestName: cause: issue"; there are three at most. No file, or an
-// empty one, means none. The exit status is 0 if nothing but listed tests failed, else 1.
+// Each line of the file is "TestName: cause: issue", with three lines at most. A missing or empty
+// file lists no tests. The exit status is 0 if nothing but listed tests failed, else 1.
 package main
 
 import (
@@ -23,7 +23,8 @@
 	}
 }
 
-// checkStandardInput judges the events on standard input by the list of the current directory.
+// checkStandardInput checks the test run on standard input against the list in the current
+// directory.
 func checkStandardInput() error {
 	text, err := os.ReadFile(listFile)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/knownfailures/testrun.go
+++ b/internal/knownfailures/testrun.go
@@ -9,26 +9,26 @@
 	"strings"
 )
 
-// maxEventBytes is the longest line of the events; a longer one fails the run.
+// maxEventBytes limits the length of a line of the events; a longer line fails the run.
 const maxEventBytes = 1 << 20
 
 // event is one line of `go test -json`.
 type event struct {
 	Action  string
 	Package string
-	Test    string // empty if the event is the package's; with a slash for a subtest
+	Test    string // empty for an event of the package; contains a slash for a subtest
 	Output  string
 }
 
-// Actions of an event that have no status of the same name.
+// Actions of events that are not named like a testStatus.
 const (
 	actionStart       = "start" // of a package
 	actionRun         = "run"   // of a test
 	actionBuildFailed = "build-fail"
 )
 
-// testStatus is how far a test or a package has come. Those of an end are named like the action
-// that reports it.
+// testStatus is the status of a test or a package. The final ones are named like the action that
+// reports them.
 type testStatus string
 
 const (
@@ -38,8 +38,8 @@
 	skipped testStatus = "skip"
 )
 
-// crashPrefixes begin the lines of output that report more than a failed check, which no list
-// excuses.
+// crashPrefixes are the beginnings of output lines that report a crash or a data race. These fail
+// the run even if the test is listed.
 var crashPrefixes = []string{
 	"panic: ", "fatal error: ", "WARNING: DATA RACE", "ThreadSanitizer: ", "SIGSEGV: ", "SIGABRT: ",
 }
@@ -50,13 +50,13 @@
 	test        string
 }
 
-// testRun is what the events tell of one run of the tests.
+// testRun is the state of a test run, built from its events.
 type testRun struct {
-	out              io.Writer             // takes the output of packages and of failed tests
-	tests            map[testID]testStatus // subtests left out
+	out              io.Writer             // receives the output of packages and of failed tests
+	tests            map[testID]testStatus // without subtests
 	packages         map[string]testStatus // by path
-	unfinishedOutput map[testID]string     // of unfinished tests, that of their subtests included
-	errs             []error               // which no list excuses
+	unfinishedOutput map[testID]string     // output of unfinished tests and their subtests
+	errs             []error               // failures that are not excused by the list
 }
 
 func newTestRun(out io.Writer) *testRun {
@@ -68,7 +68,7 @@
 	}
 }
 
-// read records all events until their end.
+// read records all events until the end of the input.
 func (r *testRun) read(events io.Reader) {
 	lines := bufio.NewScanner(events)
 	lines.Buffer(nil, maxEventBytes)
@@ -76,13 +76,13 @@
 		var e event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
 			fmt.Fprintf(r.out, "%s\n", lines.Bytes())
-			r.addError(fmt.Errorf("not an event of a test: %q", lines.Text()))
+			r.addError(fmt.Errorf("not an event of go test -json: %q", lines.Text()))
 			continue
 		}
 		r.record(e)
 	}
 	if err := lines.Err(); err != nil {
-		r.addError(fmt.Errorf("reading the events: %w", err))
+		r.addError(fmt.Errorf("reading the events of go test -json: %w", err))
 	}
 	for _, text := range r.unfinishedOutput {
 		io.WriteString(r.out, text)
@@ -114,7 +114,8 @@
 	}
 }
 
-// recordOutput shows the output of a package at once, and keeps that of a test until its end.
+// recordOutput prints the output of a package at once, and keeps the output of a test until the
+// test ends.
 func (r *testRun) recordOutput(id testID, e event) {
 	if id.test == "" {
 		io.WriteString(r.out, e.Output)
@@ -128,7 +129,7 @@
 	}
 }
 
-// recordTest records the status of a test, and shows its output if it failed.
+// recordTest records the status of a test, and prints its output if it failed.
 func (r *testRun) recordTest(id testID, status testStatus) {
 	r.tests[id] = status
 	if status == failed {
@@ -139,7 +140,7 @@
 	}
 }
 
-// statusOf returns the status that an action leads to, if it leads to any.
+// statusOf returns the status after an action, and false if the action does not change it.
 func statusOf(action string) (testStatus, bool) {
 	switch action {
 	case actionStart, actionRun:
