--- a/internal/doccheck/doccheck_test.go
+++ b/internal/doccheck/doccheck_test.go
@@ -1,5 +1,6 @@
-// Package doccheck holds a test that the repository's packages and exported items have doc
-// comments. staticcheck checks the form of such comments, but not that exported items have one.
+// Package doccheck holds a test that all packages and exported items of the repository have doc
+// comments. staticcheck checks the form of doc comments, but does not report exported items
+// without one.
 package doccheck
 
 import (
@@ -15,15 +16,14 @@
 	"testing"
 )
 
-// repositoryRoot is the root of the repository as seen from this package's directory.
+// repositoryRoot is the root of the repository, relative to the directory of this package.
 const repositoryRoot = "../.."
 
-// Guards that a newcomer finds a doc comment on every package and every exported item. Test
-// files are exempt.
+// Guards that every package and every exported item has a doc comment. Test files are exempt.
 func TestExportedItemsHaveDocComments(t *testing.T) {
 	packages := parseRepository(t)
 	if len(packages) == 0 {
-		t.Fatal("no Go package was found")
+		t.Fatalf("found no Go package below %s", repositoryRoot)
 	}
 	for directory, files := range packages {
 		if !hasPackageComment(files) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// checkedSource has items of each kind, with a comment and without.
+// checkedSource declares items of each kind, with and without a doc comment.
 const checkedSource = `package p
 
 func Function() {}
@@ -72,7 +72,7 @@
 )
 `
 
-// Guards the check itself: it names each kind of item that lacks a comment, and no other.
+// Guards the check itself: it reports each kind of item without a doc comment, and no others.
 func TestUndocumentedItemsAreReported(t *testing.T) {
 	fileSet := token.NewFileSet()
 	syntax, err := parser.ParseFile(fileSet, "p.go", checkedSource, parser.ParseComments)
@@ -90,10 +90,10 @@
 		"p.go:25: exported Bare has no doc comment",
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+		t.Errorf("items without a doc comment:\n%s\nwant:\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 	if hasPackageComment([]sourceFile{file}) {
-		t.Error("a package comment was found where there is none")
+		t.Error("hasPackageComment reports a package comment, want none")
 	}
 }
 
@@ -103,7 +103,7 @@
 	syntax  *ast.File
 }
 
-// parseRepository returns the repository's Go files by directory, without the test files.
+// parseRepository returns the Go files of the repository by directory, except test files.
 func parseRepository(t *testing.T) map[string][]sourceFile {
 	t.Helper()
 	root := os.DirFS(repositoryRoot)
@@ -140,7 +140,7 @@
 	return packages
 }
 
-// isIgnoredDirectory reports whether the go command, too, leaves a directory out of "./...".
+// isIgnoredDirectory reports whether "./..." of the go command excludes a directory of this name.
 func isIgnoredDirectory(name string) bool {
 	return name == "testdata" || name == "vendor" || strings.HasPrefix(name, ".") || strings.HasPrefix(name, "_")
 }
@@ -149,7 +149,8 @@
 	return slices.ContainsFunc(files, func(file sourceFile) bool { return file.syntax.Doc != nil })
 }
 
-// undocumentedItems names the exported items of a file that have no comment, in their order.
+// undocumentedItems returns a message for each exported item of a file without a doc comment, in
+// source order.
 func undocumentedItems(file sourceFile) []string {
 	var items []string
 	report := func(position token.Pos, name string) {
@@ -176,7 +177,7 @@
 	return items
 }
 
-// functionName returns a function's name, with its type's if it is a method, and whether it is
+// functionName returns the name of a function, or "Type.Method" for a method, and whether it is
 // exported. A method is exported only if its type is.
 func functionName(function *ast.FuncDecl) (name string, exported bool) {
 	if function.Recv == nil {
@@ -186,7 +187,7 @@
 	return receiver + "." + function.Name.Name, ast.IsExported(receiver) && function.Name.IsExported()
 }
 
-// receiverName returns the name of a receiver's type, without its pointer and type parameters.
+// receiverName returns the name of a receiver's type without pointer and type parameters.
 func receiverName(receiver ast.Expr) string {
 	switch receiver := receiver.(type) {
 	case *ast.StarExpr:
@@ -202,14 +203,14 @@
 	}
 }
 
-// isTypeGroup reports whether a declaration declares types in parentheses: each of these needs
-// a comment of its own, whereas constants and variables may share the group's.
+// isTypeGroup reports whether a declaration is a group of types in parentheses. Each of them needs
+// its own comment, while the constants or variables of a group may share the group's comment.
 func isTypeGroup(declaration *ast.GenDecl) bool {
 	return declaration.Tok == token.TYPE && declaration.Lparen.IsValid()
 }
 
-// undocumentedNames returns the exported names of one specification that has no comment, neither
-// above it nor at the end of its line.
+// undocumentedNames returns the exported names that a specification declares, if it has a comment
+// neither above it nor at the end of its line.
 func undocumentedNames(declaration *ast.GenDecl, spec ast.Spec) []*ast.Ident {
 	var names []*ast.Ident
 	switch spec := spec.(type) {
--- a/internal/testclock/clock.go
+++ b/internal/testclock/clock.go
@@ -1,5 +1,6 @@
 // Package testclock runs scheduled functions in simulated time, for tests that simulate a whole
-// fleet without sockets: there are no goroutines, and the order is the same in every run.
+// fleet without sockets. It starts no goroutines: functions run in the goroutine that calls
+// [Clock.Run], in the same order in every run.
 package testclock
 
 import (
@@ -7,13 +8,13 @@
 	"time"
 )
 
-// Clock is simulated time with the functions scheduled in it. Its zero value stands at 0 with
+// Clock is a simulated clock with scheduled functions. The zero value is a clock at time 0 with
 // nothing scheduled. It is not safe for concurrent use.
 type Clock struct {
-	Now time.Duration // since the beginning; only Run advances it
+	Now time.Duration // time since the start; only Run advances it
 
 	pending   timerQueue
-	scheduled int // calls of After so far
+	scheduled int // number of calls of After so far
 }
 
 // After schedules a function to run when d has passed. Functions due at the same time run in the
@@ -23,8 +24,8 @@
 	heap.Push(&c.pending, timer{at: c.Now + d, sequence: c.scheduled, run: run})
 }
 
-// Run advances the clock by d and runs the functions that come due, those included that they
-// schedule themselves.
+// Run advances the clock by d and runs the functions that come due, including functions that are
+// scheduled meanwhile.
 func (c *Clock) Run(d time.Duration) {
 	end := c.Now + d
 	for len(c.pending) > 0 && c.pending[0].at <= end {
@@ -38,7 +39,7 @@
 // timer is one scheduled function.
 type timer struct {
 	at       time.Duration
-	sequence int // breaks ties
+	sequence int // orders timers that are due at the same time
 	run      func()
 }
 
@@ -61,7 +62,7 @@
 func (q *timerQueue) Pop() any {
 	last := len(*q) - 1
 	removed := (*q)[last]
-	(*q)[last] = timer{} // so that what its function refers to can be collected
+	(*q)[last] = timer{} // releases the function for garbage collection
 	*q = (*q)[:last]
 	return removed
 }
--- a/internal/testclock/clock_test.go
+++ b/internal/testclock/clock_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Guards the order in which functions run, on which every figure of a simulated fleet rests.
+// Guards the order in which functions run: by due time, then in the order of the calls of After.
+// The results of every simulated fleet depend on it.
 func TestFunctionsRunInOrderOfDueTime(t *testing.T) {
 	var clock Clock
 	var got []string
@@ -22,11 +23,11 @@
 	clock.After(time.Second, record("second "))
 	clock.Run(2 * time.Second)
 	if want := "[first 1s second 1s added 1s late 2s]"; fmt.Sprint(got) != want || clock.Now != 2*time.Second {
-		t.Errorf("%v at %v, want %s", got, clock.Now, want)
+		t.Errorf("ran %v by %v, want %s by 2s", got, clock.Now, want)
 	}
 	got = nil
 	clock.Run(5 * time.Second)
 	if want := "[next run 3s]"; fmt.Sprint(got) != want || clock.Now != 7*time.Second {
-		t.Errorf("%v at %v, want %s", got, clock.Now, want)
+		t.Errorf("ran %v by %v, want %s by 7s", got, clock.Now, want)
 	}
 }
--- a/internal/testsupport/loopback.go
+++ b/internal/testsupport/loopback.go
@@ -18,7 +18,7 @@
 	return listener.(*net.TCPListener)
 }
 
-// Dial opens a connection whose reads and writes end within [MaxWait]. It is closed when the test
+// Dial opens a connection whose reads and writes fail after [MaxWait]. It is closed when the test
 // ends.
 func Dial(t *testing.T, address string) *net.TCPConn {
 	t.Helper()
--- a/internal/testsupport/server.go
+++ b/internal/testsupport/server.go
@@ -13,9 +13,9 @@
 // OKResponse is a complete response with the body "hello".
 const OKResponse = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 
-// Responder answers one request, of which the body has been read, by writing to its connection.
-// It reports whether the connection stays open for further requests. It is called from a
-// goroutine for each connection, and may block.
+// Responder writes the response to a request, whose body has been read, to the connection. It
+// reports whether the connection stays open for further requests. It is called from the
+// goroutine of the connection, and may block.
 type Responder func(conn net.Conn, req *http.Request, body []byte) (keepOpen bool)
 
 // RespondWith returns a responder that writes the same text for each request.
@@ -31,8 +31,7 @@
 	return RespondWith(OKResponse)(conn, req, body)
 }
 
-// RespondAfter returns a responder that waits until release is closed and then answers as respond
-// does.
+// RespondAfter returns a responder that waits until release is closed and then calls respond.
 func RespondAfter(release <-chan struct{}, respond Responder) Responder {
 	return func(conn net.Conn, req *http.Request, body []byte) bool {
 		<-release
@@ -40,11 +39,11 @@
 	}
 }
 
-// FakeServer is an HTTP server on the loopback interface whose responses, byte for byte, are
-// those of a [Responder]. It takes the place of an endpoint, of the counter or of discovery, and
-// records the requests that it read. Its methods may be called from any goroutine.
+// FakeServer is an HTTP server on the loopback interface that stands in for an endpoint, the
+// counter or discovery. A [Responder] writes its responses byte for byte. The server records the
+// requests that it has read. Its methods may be called from any goroutine.
 type FakeServer struct {
-	// Addr is its host and port.
+	// Addr is the address of the server, as host:port.
 	Addr string
 
 	respond  Responder
@@ -52,7 +51,7 @@
 	requests []string
 }
 
-// StartFakeServer starts a server that ends with the test.
+// StartFakeServer starts a server that is stopped when the test ends.
 func StartFakeServer(t *testing.T, respond Responder) *FakeServer {
 	t.Helper()
 	listener := Listen(t)
@@ -70,15 +69,15 @@
 	return server
 }
 
-// Requests returns method, target and X-Trace-Id, with a space between them, of each request
-// that was read to its end, in the order in which they were read.
+// Requests returns the completely read requests, in the order in which they were read. Each has
+// the form "METHOD TARGET X-TRACE-ID", with the value of the X-Trace-Id header.
 func (s *FakeServer) Requests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.requests)
 }
 
-// serveConn answers the requests on one connection.
+// serveConn answers the requests on one connection until it ends or the responder closes it.
 func (s *FakeServer) serveConn(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
