--- a/internal/policy/sharedbucket.go
+++ b/internal/policy/sharedbucket.go
@@ -26,18 +26,18 @@
 // counter is slow to answer.
 func (g *Gateway) admitBySharedBucket(r *request, estimates *overQuotaEstimates) {
 	t := r.tenant
-	if t.bucket.known() && t.bucket.tokensAt(g.now, t.plan) < r.units-unitTolerance {
+	if t.sharedBucket.known() && t.sharedBucket.tokensAt(g.now, t.plan) < r.units-unitTolerance {
 		g.decide(r, false) // the other gateways can only have taken more
 		return
 	}
-	known := t.evidenceFor(r)
-	t.requestSeen = true
-	odds := overQuotaOdds{overQuota: estimates[known], cost: t.plan.OverQuotaCost - t.plan.OverQuotaWeight}
-	probability := g.overQuota.callProbability(odds.risk(r), g.counterBudget.rate)
+	kind := t.evidenceFor(r)
+	t.sharedBucketUsed = true
+	risk := overQuotaRisk{probability: estimates[kind], cost: t.plan.OverQuotaCost - t.plan.OverQuotaWeight}
+	probability := g.overQuota.callProbability(risk.valueAtRisk(r), g.counterBudget.rate)
 	calls := g.rng.Float64() < probability
-	waits := calls && !g.stalls.stalledLately(g.now) && r.deadline-g.now > 2*g.set.CounterTimeout
+	waits := calls && !g.stalls.recentlyStalled(g.now) && r.deadline-g.now > 2*g.settings.CounterTimeout
 	if !waits {
-		g.decideUncoordinated(r, odds)
+		g.decideUncoordinated(r, risk)
 	}
 	if !calls {
 		return
@@ -45,9 +45,9 @@
 	call := &sharedBucketCall{
 		gateway:   g,
 		held:      heldRequest{request: r, waiting: waits},
-		evidence:  known,
+		evidence:  kind,
 		estimates: estimates,
-		odds:      odds,
+		risk:      risk,
 		epoch:     t.bucketEpoch(g.now),
 		units:     r.units / probability,
 	}
@@ -56,35 +56,35 @@
 
 // evidenceFor returns what is known of the tenant's quota for a request.
 func (t *tenantState) evidenceFor(r *request) evidence {
-	known := noEvidence
+	kind := noEvidence
 	switch {
-	case t.bucket.known() && t.bucket.sufficient:
-		known = bucketSufficient
-	case t.bucket.known():
-		known = bucketShort
+	case t.sharedBucket.known() && t.sharedBucket.sufficient:
+		kind = bucketSufficient
+	case t.sharedBucket.known():
+		kind = bucketInsufficient
 	case t.tokens < r.units-unitTolerance:
-		known = localShareEmpty
-	case t.requestSeen:
-		known = localShareLeft
+		kind = localTokensExhausted
+	case t.sharedBucketUsed:
+		kind = localTokensLeft
 	}
 	if r.isRetry {
-		return known.forRetry()
+		return kind.forRetry()
 	}
-	return known
+	return kind
 }
 
 // decideUncoordinated decides a request without the counter.
-func (g *Gateway) decideUncoordinated(r *request, odds overQuotaOdds) {
+func (g *Gateway) decideUncoordinated(r *request, risk overQuotaRisk) {
 	t := r.tenant
-	hasTokens := odds.cost <= 0 || t.tokens >= r.units-unitTolerance
-	g.decide(r, odds.favorAdmission() && hasTokens && t.withinLimits(r.units))
+	hasTokens := risk.cost <= 0 || t.tokens >= r.units-unitTolerance
+	g.decide(r, risk.favorsAdmission() && hasTokens && t.withinLimits(r.units))
 }
 
-// decideGranted decides a request by the shared bucket. This gateway's share of the
+// decideBySharedBucket decides a request by the shared bucket. This gateway's share of the
 // hard limit is kept for uncoordinated decisions: it neither binds the request nor is
 // it charged.
-func (g *Gateway) decideGranted(r *request, granted bool) {
-	g.forwardOrReject(r, granted && r.tenant.withinConcurrency())
+func (g *Gateway) decideBySharedBucket(r *request, granted bool) {
+	g.forwardOrReject(r, granted && r.tenant.withinConcurrencyLimit())
 }
 
 // sharedBucketCall takes units from a tenant's shared bucket for one request, which
@@ -94,7 +94,7 @@
 	held      heldRequest
 	evidence  evidence
 	estimates *overQuotaEstimates
-	odds      overQuotaOdds
+	risk      overQuotaRisk
 	epoch     int64
 	units     float64 // the request's own, and those of the requests that made no call
 }
@@ -102,43 +102,43 @@
 func (c *sharedBucketCall) start() {
 	g := c.gateway
 	if c.held.waiting { // the reply may come later than is good for the request
-		g.startTimer(g.set.CounterTimeout, c.expired)
+		g.startTimer(g.settings.CounterTimeout, c.onTimeout)
 	}
-	g.addToCounter(c.key(), c.units, bucketTTL, c.replied)
+	g.addToCounter(c.key(), c.units, bucketTTL, c.onReply)
 }
 
 func (c *sharedBucketCall) key() uint64 { return c.held.request.tenant.bucketKey(c.epoch) }
 
-// expired decides the request when the counter did not reply in time.
-func (c *sharedBucketCall) expired() {
+// onTimeout decides the request when the counter did not reply in time.
+func (c *sharedBucketCall) onTimeout() {
 	if c.held.release() {
-		c.gateway.decideUncoordinated(c.held.request, c.odds)
+		c.gateway.decideUncoordinated(c.held.request, c.risk)
 	}
 }
 
-// replied decides the request by what the bucket holds, learns from it, and returns the
+// onReply decides the request by what the bucket holds, learns from it, and returns the
 // units unless the request was forwarded and the bucket held them.
-func (c *sharedBucketCall) replied(reply CounterReplied) {
+func (c *sharedBucketCall) onReply(reply CounterReplied) {
 	g, r := c.gateway, c.held.request
 	t := r.tenant
 	t.refill(g.now)
 	undecided := c.held.release()
 	if reply.Outcome != Succeeded {
 		if undecided {
-			g.decideUncoordinated(r, c.odds)
+			g.decideUncoordinated(r, c.risk)
 		}
 		return
 	}
-	tokens := g.readBucket(t, c.epoch, reply.Total-c.units)
+	tokens := g.applyBucketTotal(t, c.epoch, reply.Total-c.units)
 	sufficient := tokens >= r.units-unitTolerance
-	t.bucket.sufficient = sufficient
+	t.sharedBucket.sufficient = sufficient
 	c.estimates.observe(c.evidence, !sufficient)
 	if undecided {
-		g.decideGranted(r, sufficient)
+		g.decideBySharedBucket(r, sufficient)
 	}
 	if sufficient && len(r.attempts) > 0 {
-		t.bucket.take(c.units)
-		r.chargedToBucket = true
+		t.sharedBucket.take(c.units)
+		r.chargedToSharedBucket = true
 		return
 	}
 	g.addToCounter(c.key(), -c.units, bucketTTL, ignoreReply)
