--- a/cmd/edgenode/main.go
+++ b/cmd/edgenode/main.go
@@ -92,13 +92,8 @@
 			log.Error("configuration not reloaded", "err", err)
 			continue
 		}
-<<<<<<< HEAD
-		node.ChangeAddresses(cfg.Discovery, cfg.Counter)
-		log.Info("configuration reloaded", "discovery", cfg.Discovery, "counter", cfg.Counter)
-=======
 		node.ChangeAddresses(cfg.DiscoveryAddress, cfg.CounterAddress)
-		log.Info("took the new configuration", "discovery", cfg.DiscoveryAddress, "counter", cfg.CounterAddress)
->>>>>>> main
+		log.Info("configuration reloaded", "discovery", cfg.DiscoveryAddress, "counter", cfg.CounterAddress)
 	}
 }
 
