--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -13,9 +13,9 @@
 	name, mode string
 	queueLimit time.Duration
 }{
-	{"push", "push", shortQueueLimit},
-	{"ask", "ask", shortQueueLimit},
-	{"ask, long queue", "ask", longQueueLimit},
+	{"pushed", "push", shortQueueLimit},
+	{"polled", "ask", shortQueueLimit},
+	{"polled, long queue", "ask", longQueueLimit},
 }
 
 // fleetEvents are the failures and changes that are tested. Each function returns the version of
@@ -24,21 +24,21 @@
 	name  string
 	event func(*fleet) version
 }{
-	{"steady", (*fleet).publishChange},
-	{"silence", outage(serviceUp, 0)},
-	{"silence in step", func(f *fleet) version {
+	{"no failure", (*fleet).publishChange},
+	{"held calls lost", outage(serviceUp, 0)},
+	{"held calls lost after common renewal", func(f *fleet) version {
 		f.oldService.publish() // answers all held calls, so that all nodes call again together
 		f.Run(100 * time.Millisecond)
 		f.oldService.setState(serviceUp)
 		return f.publishChange()
 	}},
-	{"refusal", outage(serviceRefusing, longOutage)},
-	{"short refusal", outage(serviceRefusing, time.Second)},
-	{"hung calls", outage(serviceUnresponsive, longOutage)},
-	{"hung calls, short", outage(serviceUnresponsive, 7*time.Second)},
-	{"rejected calls", outage(serviceRejecting, longOutage)},
+	{"connections refused", outage(serviceRefusing, longOutage)},
+	{"connections refused briefly", outage(serviceRefusing, time.Second)},
+	{"no responses", outage(serviceUnresponsive, longOutage)},
+	{"no responses briefly", outage(serviceUnresponsive, 7*time.Second)},
+	{"calls rejected", outage(serviceRejecting, longOutage)},
 	{"address change", (*fleet).changeAddress},
-	{"address change while hung", func(f *fleet) version {
+	{"address change without responses", func(f *fleet) version {
 		f.oldService.setState(serviceUnresponsive)
 		f.Run(longOutage)
 		return f.changeAddress()
@@ -111,7 +111,7 @@
 	for _, variant := range discoveryVariants {
 		for _, known := range []bool{false, true} {
 			for _, down := range []time.Duration{0, 3 * time.Second, 20 * time.Second} {
-				t.Run(fmt.Sprintf("%s/known %v/down %v", variant.name, known, down), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/cached list %v/down %v", variant.name, known, down), func(t *testing.T) {
 					checkRestart(t, variant.mode, variant.queueLimit, known, down)
 				})
 			}
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -6,9 +6,9 @@
 	"swiftpitch/internal/config"
 )
 
-// NotificationDeadline is how long after a change the node counts as notified of it, even if
-// its calls failed meanwhile. The time starts when discovery has the change and is reachable.
-// A failed call, the delay after it and the next call must fit into it.
+// NotificationDeadline is the time after which a node counts as notified of a change, even if
+// its calls failed meanwhile. It starts when discovery has the change and is reachable. A
+// failed call, the delay after it and the next call must fit into it.
 const NotificationDeadline = 6 * time.Second
 
 // The durations of a watch, where discovery pushes changes to an agent on this machine. The
