--- a/internal/frontend/readahead.go
+++ b/internal/frontend/readahead.go
@@ -21,8 +21,8 @@
 
 // readAhead reads a connection whose client sends more data while a request is in flight,
 // because the client's disconnect is only detected by reading on. The data is buffered for
-// Read. A separate goroutine reads the connection; the methods other than run may be called
-// from any goroutine.
+// Read. Its own goroutine reads the connection, in run; Read, setReadDeadline, buffered and
+// close may be called from any goroutine.
 type readAhead struct {
 	conn         net.Conn
 	memory       *MemoryBudget   // shared by all connections
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -18,14 +18,14 @@
 type Conn struct {
 	net.Conn
 	endpoint  *Endpoint
-	addr      string // that was dialed; the endpoint may have moved since
-	limit     io.LimitedReader
+	addr      string           // address that was dialed; the endpoint's may have changed since
+	limit     io.LimitedReader // limits the size of a response
 	reader    *bufio.Reader
 	idleSince time.Time // zero: never idle so far
 }
 
-// NewConn wraps a connection that was dialed to an endpoint at addr, in a slot of the
-// pool that [Pool.Reserve] gave.
+// NewConn wraps a connection that was dialed to an endpoint at addr, after the caller had
+// reserved a slot with [Pool.Reserve].
 func NewConn(netConn net.Conn, endpoint *Endpoint, addr string) *Conn {
 	c := &Conn{Conn: netConn, endpoint: endpoint, addr: addr}
 	c.limit.R = netConn
@@ -33,11 +33,11 @@
 	return c
 }
 
-// IdleSince returns when the connection became idle; zero: it never was.
+// IdleSince returns when the connection last became idle, or the zero time if it never was.
 func (c *Conn) IdleSince() time.Time { return c.idleSince }
 
-// IsReusable reports whether an idle connection is open and has nothing to read. A
-// connection that is no socket can't be asked and counts as quiet.
+// IsReusable reports whether an idle connection is open and has no unread data. A
+// connection that is not a socket can't be checked and counts as reusable.
 func (c *Conn) IsReusable() bool {
 	_, isSocket := c.Conn.(syscall.Conn)
 	return !isSocket || socket.Peek(c.Conn) == socket.NoData
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,7 +1,7 @@
-// Package upstream holds the edge node's connections to the servers it forwards
-// requests to: the pool of keep-alive connections with the endpoints that discovery
-// lists, the exchange of one HTTP request and response on a connection, and the parser
-// of load reports.
+// Package upstream manages the edge node's connections to the servers that it forwards
+// requests to: the endpoints listed by discovery with a pool of keep-alive connections,
+// the exchange of one HTTP request and response on a connection, and the parser of load
+// reports.
 //
 // # Locking
 //
@@ -9,14 +9,14 @@
 // and all their methods are called with it held; none of them blocks.
 // [Conn.Exchange] blocks and is called without that lock, by the one goroutine that
 // owns the connection between [Pool.Acquire] (or [NewConn]) and [Pool.Release] or
-// [Pool.Evict]. [Conn.Close] may be called by anyone to end an exchange; the owner still
-// evicts the connection.
+// [Pool.Evict]. [Conn.Close] may be called from any goroutine to abort an exchange; the
+// owner still evicts the connection.
 //
 // # Life of a connection
 //
 // The caller takes an idle connection with [Pool.Acquire]. If there is none it reserves
-// a slot with [Pool.Reserve], dials, and wraps the result with [NewConn]; a dial that
-// fails gives the slot back with [Pool.CancelReservation]. After the exchange the
+// a slot with [Pool.Reserve], dials, and wraps the result with [NewConn]; if the dial
+// fails, it frees the slot with [Pool.CancelReservation]. After the exchange the
 // connection goes back with [Pool.Release] if it can carry another request, or is
 // closed with [Pool.Evict].
 package upstream
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -14,14 +14,15 @@
 	id            string
 	addr          string
 	idle          []*Conn   // most recently used last
-	startedAtMS   int64     // Unix time of its process's last start in ms, as discovery reports it
+	startedAtMS   int64     // Unix time in ms of its process's last start, as discovery reports it
 	drainingSince time.Time // when discovery first reported it draining or removed; zero: serving
 }
 
 // Addr returns the host and port at which discovery lists the endpoint.
 func (e *Endpoint) Addr() string { return e.addr }
 
-// IsServing reports whether the endpoint takes new requests by discovery's last word.
+// IsServing reports whether the endpoint takes new requests according to discovery's
+// latest report.
 func (e *Endpoint) IsServing() bool { return e.drainingSince.IsZero() }
 
 // IdleConns returns the idle connections to the endpoint, most recently used last. The
@@ -32,27 +33,29 @@
 type EndpointUpdate struct {
 	ID          string
 	Addr        string // host and port
-	StartedAtMS int64  // Unix time of its process's last start in ms; 0: not reported
+	StartedAtMS int64  // Unix time in ms of its process's last start; 0: not reported
 	State       policy.EndpointState
 }
 
-// Endpoint returns the endpoint of an id, or nil if discovery lists none.
+// Endpoint returns the endpoint with an id, or nil if discovery does not list it.
 func (p *Pool) Endpoint(id string) *Endpoint { return p.endpoints[id] }
 
-// Endpoints iterates over all endpoints by id. The loop may remove endpoints.
+// Endpoints iterates over the ids and endpoints that discovery lists. Endpoints may be
+// removed during the iteration.
 func (p *Pool) Endpoints() iter.Seq2[string, *Endpoint] { return maps.All(p.endpoints) }
 
 // ServingEndpoints returns the number of endpoints that take new requests.
 func (p *Pool) ServingEndpoints() int { return p.serving }
 
-// AcceptsAttempts reports whether an attempt may start at an endpoint: it serves, or
-// its drain grace is not over yet. It holds for endpoints that were removed, too.
+// AcceptsAttempts reports whether an attempt may start at an endpoint: the endpoint is
+// serving, or its drain grace period is not over. The grace period also applies to
+// endpoints that were removed.
 func (p *Pool) AcceptsAttempts(endpoint *Endpoint, now time.Time) bool {
 	return endpoint.IsServing() || now.Sub(endpoint.drainingSince) < p.drainGrace
 }
 
-// UpdateEndpoint applies discovery's report on one endpoint. Idle connections are closed
-// where the endpoint drains, has moved or was restarted.
+// UpdateEndpoint applies discovery's report on one endpoint. It closes the endpoint's idle
+// connections if the endpoint is draining, has a new address or was restarted.
 func (p *Pool) UpdateEndpoint(update EndpointUpdate, now time.Time) {
 	if update.State == policy.Removed {
 		p.RemoveEndpoint(update.ID, now)
@@ -77,8 +80,8 @@
 	p.evictIdle(endpoint)
 }
 
-// RemoveEndpoint forgets an endpoint and closes its idle connections. Who still holds
-// the endpoint sees it draining from now on, or from when its drain began.
+// RemoveEndpoint removes an endpoint and closes its idle connections. To callers that
+// still refer to it, it is draining since now, or since an earlier start of its drain.
 func (p *Pool) RemoveEndpoint(id string, now time.Time) {
 	endpoint := p.endpoints[id]
 	if endpoint == nil {
@@ -89,8 +92,7 @@
 	delete(p.endpoints, id)
 }
 
-// drain begins an endpoint's drain grace. A drain that is reported again does not begin
-// it anew.
+// drain starts an endpoint's drain grace period. A repeated report does not restart it.
 func (p *Pool) drain(endpoint *Endpoint, now time.Time) {
 	if endpoint.IsServing() {
 		endpoint.drainingSince = now
@@ -98,7 +100,7 @@
 	}
 }
 
-// resume ends an endpoint's drain.
+// resume marks a draining endpoint as serving again.
 func (p *Pool) resume(endpoint *Endpoint) {
 	if !endpoint.IsServing() {
 		endpoint.drainingSince = time.Time{}
