--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	// maxResponseHeadBytes bounds a response's head and framing in bytes, interim
-	// responses included.
+	// maxResponseHeadBytes limits a response's head and framing in bytes, including
+	// interim responses.
 	maxResponseHeadBytes = 32 << 10
-	// maxBodyBytes bounds a response's body in bytes.
+	// maxBodyBytes limits a response's body in bytes.
 	maxBodyBytes = config.MaxBodyBytes
-	// maxInterimResponses bounds the 1xx responses ahead of the final one.
+	// maxInterimResponses limits the 1xx responses that precede the final one.
 	maxInterimResponses = 8
 )
 
 var (
-	errTooManyInterimResponses = errors.New("more interim responses than allowed")
+	errTooManyInterimResponses = errors.New("too many interim (1xx) responses")
 	errBodyTooLong             = errors.New("response body too long")
-	errUnframedBody            = errors.New("response body without a length: a truncated one can't be told from a whole one")
+	errUnframedBody            = errors.New("response body without Content-Length or chunked encoding: truncation can't be detected")
 )
 
 // Response is the result of an exchange.
 type Response struct {
 	Outcome     policy.Outcome
-	Body        []byte   // where Outcome is [policy.Succeeded]; else nil
-	ContentType []string // of Body, as the header's values; nil: not named
+	Body        []byte   // nil unless Outcome is [policy.Succeeded]
+	ContentType []string // values of the Content-Type header; nil: no header, or Body is nil
 	LoadReport  policy.LoadReport
-	ActualUnits float64 // quota units that the request really took; 0: not reported
+	ActualUnits float64 // quota units that the request actually took; 0: not reported
 	Reusable    bool    // the connection may carry another request
 }
 
 // Exchange writes one request and reads the whole response. It blocks until the response
-// is complete or the connection breaks, is closed or passes its deadline. The outcome is
-// one by which a request never ran ([policy.ConnectFailed], [policy.Overloaded]) only
-// where that is proven; a damaged response proves nothing.
+// is complete or the connection breaks, is closed or passes its deadline. The outcome
+// says that the request never ran ([policy.ConnectFailed], [policy.Overloaded]) only if
+// that is certain; a damaged response is no proof.
 func (c *Conn) Exchange(request net.Buffers) Response {
 	if complete, err := c.write(request); err != nil {
 		if !complete {
@@ -62,8 +62,8 @@
 	return response
 }
 
-// write writes a request and reports, beside the error, whether all of it was written:
-// a server does not run a request whose last byte it never got.
+// write writes a request. Apart from the error it reports whether all of the request was
+// written, because a server does not run a request whose last byte it never received.
 func (c *Conn) write(request net.Buffers) (complete bool, err error) {
 	length := int64(0)
 	for _, part := range request {
@@ -73,7 +73,7 @@
 	return written >= length, err
 }
 
-// readHead reads the final response up to its body, past the interim ones.
+// readHead skips interim responses and reads the head of the final response.
 func (c *Conn) readHead() (*http.Response, error) {
 	head, err := http.ReadResponse(c.reader, nil)
 	for interim := 0; err == nil && isInterim(head) && interim < maxInterimResponses; interim++ {
@@ -92,10 +92,10 @@
 	return head, nil
 }
 
-// isInterim reports whether a further response follows.
+// isInterim reports whether a response is interim (1xx), so that another one follows.
 func isInterim(head *http.Response) bool { return head.StatusCode < http.StatusOK }
 
-// readBody reads a response's body to its end.
+// readBody reads a response's body completely.
 func readBody(head *http.Response) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(head.Body, maxBodyBytes+1))
 	if err != nil {
@@ -107,7 +107,7 @@
 	return body, nil
 }
 
-// classify turns a complete HTTP response into a result.
+// classify returns the result of an exchange whose HTTP response is complete.
 func classify(head *http.Response, body []byte) Response {
 	response := Response{
 		Outcome:    policy.ServerError,
@@ -120,12 +120,13 @@
 		response.Outcome = policy.Succeeded
 		response.Body = body
 		response.ContentType = head.Header["Content-Type"]
-		response.ActualUnits, _ = decimal.Parse(head.Header.Get("Api-Charge")) // 0 if it can't be read
+		response.ActualUnits, _ = decimal.Parse(head.Header.Get("Api-Charge")) // 0 if missing or malformed
 	}
 	return response
 }
 
-// provesNeverRan reports whether a server rejected the request without running it.
+// provesNeverRan reports whether a response proves that the server rejected the request
+// without running it.
 func provesNeverRan(head *http.Response) bool {
 	switch head.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -13,8 +13,9 @@
 	"swiftpitch/internal/testsupport"
 )
 
-// TestExchangeOutcomes checks the outcome of each way in which an exchange can end: only proof
-// that the request never ran counts as such, and only a complete response is passed on.
+// TestExchangeOutcomes checks the outcome of each way in which an exchange can end. A
+// request counts as never run only if that is proven, and only a complete response
+// succeeds.
 func TestExchangeOutcomes(t *testing.T) {
 	for _, test := range []struct {
 		name, response string
@@ -23,23 +24,23 @@
 	}{
 		{"succeeded", testsupport.OKResponse, policy.Succeeded, true},
 		{"succeeded, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", policy.Succeeded, true},
-		{"succeeded, closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nhello", policy.Succeeded, false},
+		{"succeeded, connection closes", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nhello", policy.Succeeded, false},
 		{"succeeded after 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + testsupport.OKResponse, policy.Succeeded, true},
-		{"1xx without end", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2*maxInterimResponses) + testsupport.OKResponse, policy.ConnectionLost, false},
-		{"more than a response", testsupport.OKResponse + testsupport.OKResponse, policy.Succeeded, false},
+		{"too many 1xx", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2*maxInterimResponses) + testsupport.OKResponse, policy.ConnectionLost, false},
+		{"response followed by another", testsupport.OKResponse + testsupport.OKResponse, policy.Succeeded, false},
 		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.ServerError, true},
-		{"overloaded", "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Overloaded, true},
-		{"deadline passed before it ran", "HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Overloaded, true},
-		{"503 with no proof", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.ServerError, true},
-		{"proof that is none", "HTTP/1.1 500 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.ServerError, true},
+		{"503 with X-Never-Ran", "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Overloaded, true},
+		{"504 with X-Never-Ran", "HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Overloaded, true},
+		{"503 without X-Never-Ran", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.ServerError, true},
+		{"500 with X-Never-Ran", "HTTP/1.1 500 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.ServerError, true},
 		{"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", policy.ConnectionLost, false},
-		{"body with no end", "HTTP/1.1 200 OK\r\n\r\nhello", policy.ConnectionLost, false},
-		{"truncated proof", "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 9\r\n\r\nhello", policy.ConnectionLost, false},
-		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhello", policy.ConnectionLost, false},
-		{"a duplicate response behind", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", policy.Succeeded, false},
+		{"body without length", "HTTP/1.1 200 OK\r\n\r\nhello", policy.ConnectionLost, false},
+		{"truncated 503 with X-Never-Ran", "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 9\r\n\r\nhello", policy.ConnectionLost, false},
+		{"body length of 3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhello", policy.ConnectionLost, false},
+		{"response followed by a duplicate", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", policy.Succeeded, false},
 		{"truncated head", "HTTP/1.1 200 OK\r\nContent-", policy.ConnectionLost, false},
-		{"nothing", "", policy.ConnectionLost, false},
-		{"noise", "\x00\xff\x00\r\n\r\n", policy.ConnectionLost, false},
+		{"no response", "", policy.ConnectionLost, false},
+		{"invalid bytes", "\x00\xff\x00\r\n\r\n", policy.ConnectionLost, false},
 		{"body too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", maxBodyBytes+1, strings.Repeat("x", maxBodyBytes+1)), policy.ConnectionLost, false},
 		{"head too long", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*(maxBodyBytes+maxResponseHeadBytes)), policy.ConnectionLost, false},
 	} {
@@ -50,10 +51,10 @@
 			}).Addr
 			response := NewConn(testsupport.Dial(t, addr), nil, addr).Exchange(getRequest("/"))
 			if response.Outcome != test.outcome || response.Reusable != test.reusable {
-				t.Errorf("outcome %d, reusable %v", response.Outcome, response.Reusable)
+				t.Errorf("outcome %d, reusable %v; want %d, %v", response.Outcome, response.Reusable, test.outcome, test.reusable)
 			}
 			if (response.Outcome == policy.Succeeded) != (string(response.Body) == "hello") {
-				t.Errorf("body %q", response.Body)
+				t.Errorf("outcome %d with body %q; want %q exactly if the outcome is %d", response.Outcome, response.Body, "hello", policy.Succeeded)
 			}
 		})
 	}
@@ -69,20 +70,20 @@
 			return
 		}
 		io.ReadFull(conn, make([]byte, 1))
-		conn.Close() // with unread bytes: a reset
+		conn.Close() // resets the connection, as there are unread bytes
 	}()
 	addr := listener.Addr().String()
 	text := "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 100000000\r\n\r\n" + strings.Repeat("x", 100000000)
 	response := NewConn(testsupport.Dial(t, addr), nil, addr).Exchange(net.Buffers{[]byte(text)})
 	if response.Outcome != policy.ConnectFailed || response.Reusable {
-		t.Errorf("outcome %d, reusable %v", response.Outcome, response.Reusable)
+		t.Errorf("outcome %d, reusable %v; want %d, false", response.Outcome, response.Reusable, policy.ConnectFailed)
 	}
 }
 
-// TestNoReuseBeforeReuseDelay guards against a response made for another
-// request: a connection that has been idle for some milliseconds is not used yet. The
-// server sends a duplicate response to the first request just when the next one reaches
-// that connection, so that it would be the first thing read.
+// TestNoReuseBeforeReuseDelay guards against taking a duplicate response to one request
+// for the response to the next: a connection is not reused after only some milliseconds.
+// The server sends a duplicate response to the first request just when the next request
+// arrives on that connection, where the duplicate would be read first.
 func TestNoReuseBeforeReuseDelay(t *testing.T) {
 	addr := testsupport.StartFakeEndpoint(t, func(conn net.Conn, req *http.Request, body []byte) bool {
 		if req.URL.Path == "/second" {
@@ -93,14 +94,14 @@
 	pool, endpoint := newTestPool(addr)
 	conn := NewConn(testsupport.Dial(t, addr), endpoint, addr)
 	if body := string(conn.Exchange(getRequest("/first")).Body); body != "hello" {
-		t.Fatalf("read %q", body)
+		t.Fatalf("first response: body %q, want %q", body, "hello")
 	}
 	pool.Release(conn)
 	// Duplicate responses were seen to arrive up to 6 ms after the first; the network may double that.
 	if early := pool.Acquire(endpoint, conn.idleSince.Add(12*time.Millisecond)); early != nil {
-		t.Errorf("the connection is used again so soon, and reads %q", early.Exchange(getRequest("/second")).Body)
+		t.Errorf("the connection is reused after 12 ms, and the response's body is %q", early.Exchange(getRequest("/second")).Body)
 	}
 	if pool.Acquire(endpoint, conn.idleSince.Add(ReuseDelay)) != conn {
-		t.Error("the connection is not used again after the reuse delay")
+		t.Error("the connection is not reused after ReuseDelay")
 	}
 }
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -10,13 +10,12 @@
 	"swiftpitch/internal/testsupport"
 )
 
-// getRequest is a request without a body.
+// getRequest returns a GET request.
 func getRequest(path string) net.Buffers {
 	return net.Buffers{[]byte("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n")}
 }
 
-// newTestPool returns a pool with the settings of a usual site that knows one serving
-// endpoint, "s-0" at addr.
+// newTestPool returns a pool with typical settings and one serving endpoint, "s-0" at addr.
 func newTestPool(addr string) (*Pool, *Endpoint) {
 	pool := NewPool(&config.Settings{
 		Rules:  config.Rules{DrainGrace: 2 * time.Second},
@@ -26,11 +25,11 @@
 	return pool, pool.Endpoint("s-0")
 }
 
-// addIdleConn puts an idle connection to an endpoint into the pool.
+// addIdleConn adds an idle connection to an endpoint to the pool.
 func addIdleConn(t *testing.T, pool *Pool, endpoint *Endpoint) {
 	t.Helper()
 	if !pool.Reserve() {
-		t.Fatal("no slot for a connection")
+		t.Fatal("the pool has no free slot for an idle connection")
 	}
 	pool.Release(NewConn(testsupport.Dial(t, endpoint.Addr()), endpoint, endpoint.Addr()))
 }
