--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -7,12 +7,12 @@
 	"swiftpitch/internal/policy"
 )
 
-// loadReportPrefix names the one format of load reports that is read.
+// loadReportPrefix marks the only supported format of load reports.
 const loadReportPrefix = "TEXT "
 
 // ParseLoadReport parses the load report of a response header, such as
-// "TEXT inflight=7, queue=2, util=0.61". Fields that can't be read are left out, as is
-// all of a report in another format. Each field has a short name beside the long one.
+// "TEXT inflight=7, queue=2, util=0.61". Malformed fields are omitted, and a report in
+// another format yields an empty result. Each field has a long and a short name.
 func ParseLoadReport(text string) policy.LoadReport {
 	var report policy.LoadReport
 	fields, ok := strings.CutPrefix(text, loadReportPrefix)
