--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -8,25 +8,26 @@
 	"swiftpitch/internal/policy"
 )
 
-// ReuseDelay is how long a connection stays idle before it takes the next request: what
-// a server sends behind its response has arrived by then and is seen. Duplicate
-// responses arrive "some milliseconds" late, and the network adds some more; one that
-// came after the delay would be taken for the response to the next request.
+// ReuseDelay is how long a connection stays idle before it carries the next request, so
+// that data that a server sends after its response arrives and is detected first. Duplicate
+// responses arrive some milliseconds late, and the network adds some more; one that arrived
+// after the delay would be taken for the response to the next request.
 const ReuseDelay = 25 * time.Millisecond
 
-// Defaults, used where the caller or the settings give no value.
+// Defaults, used if the caller or the settings give no value.
 const (
-	defaultMaxConns    = 512 // connections; the number of descriptors isn't known
+	defaultMaxConns    = 512 // used if the limit on file descriptors is unknown
 	defaultDialTimeout = 250 * time.Millisecond
 	defaultIdleTimeout = 5 * time.Second
 )
 
 const (
-	// idleTimeoutDivisor divides the servers' idle timeout: the pool closes an idle
-	// connection well before its server does, whose close a request could cross.
+	// idleTimeoutDivisor divides the servers' idle timeout to give the pool's. The pool
+	// closes an idle connection well before its server does, because a request could be
+	// written just as the server closes the connection.
 	idleTimeoutDivisor = 2
-	// sweepsPerIdleTimeout divides the pool's idle timeout: a connection stays open for at most
-	// that part of it longer.
+	// sweepsPerIdleTimeout is the number of sweeps per idle timeout of the pool. An expired
+	// connection stays open until the next sweep.
 	sweepsPerIdleTimeout = 8
 )
 
@@ -35,7 +36,7 @@
 type Pool struct {
 	endpoints   map[string]*Endpoint // by id
 	serving     int                  // endpoints that take new requests
-	open        int                  // connections, those being dialed included
+	open        int                  // open connections, including those being dialed
 	maxConns    int
 	dialTimeout time.Duration
 	idleTimeout time.Duration
@@ -44,7 +45,7 @@
 }
 
 // NewPool returns a pool without endpoints. At most maxConns connections are open at a
-// time; 0 stands for a default.
+// time; 0 selects a default.
 func NewPool(settings *config.Settings, maxConns int) *Pool {
 	p := &Pool{
 		endpoints:   map[string]*Endpoint{},
@@ -68,18 +69,18 @@
 // DialTimeout returns how long the dial of a connection may take.
 func (p *Pool) DialTimeout() time.Duration { return p.dialTimeout }
 
-// SweepInterval returns how often [Pool.EvictExpired] is to be called.
+// SweepInterval returns the interval at which [Pool.EvictExpired] is to be called.
 func (p *Pool) SweepInterval() time.Duration { return p.idleTimeout / sweepsPerIdleTimeout }
 
-// OpenConns returns the number of open connections, those being dialed included.
+// OpenConns returns the number of open connections, including those being dialed.
 func (p *Pool) OpenConns() int { return p.open }
 
-// MaxConns returns the largest number of open connections.
+// MaxConns returns the limit on the number of open connections.
 func (p *Pool) MaxConns() int { return p.maxConns }
 
-// Acquire returns an idle connection to an endpoint that has been idle for the reuse
-// delay and is still good, or nil. Connections found expired, stale or broken on the
-// way are closed.
+// Acquire returns the most recently used connection to an endpoint that has been idle for
+// at least [ReuseDelay] and can carry a request, or nil if there is none. It closes the
+// expired, stale and broken connections that it finds.
 func (p *Pool) Acquire(endpoint *Endpoint, now time.Time) *Conn {
 	for i := len(endpoint.idle) - 1; i >= 0; i-- {
 		conn := endpoint.idle[i]
@@ -96,8 +97,8 @@
 	return nil
 }
 
-// Reserve reserves a slot for one more connection and reports whether there is one. At
-// the limit the connection that has been idle longest is closed to free its slot.
+// Reserve reserves a slot for one more connection and reports whether it succeeded. At the
+// limit it closes the connection that has been idle longest to free its slot.
 func (p *Pool) Reserve() bool {
 	if p.open >= p.maxConns && !p.evictLongestIdle() {
 		return false
@@ -106,7 +107,7 @@
 	return true
 }
 
-// CancelReservation gives back a reserved slot whose dial failed.
+// CancelReservation frees a reserved slot after the dial failed.
 func (p *Pool) CancelReservation() { p.open-- }
 
 // evictLongestIdle closes the connection that has been idle longest and reports whether
@@ -129,8 +130,8 @@
 	return true
 }
 
-// Release puts back a connection that has no request under way. It is closed instead if
-// its endpoint drains, was removed or has moved.
+// Release returns a connection without a request in flight to the pool. The connection is
+// closed instead if its endpoint is draining, was removed or has a new address.
 func (p *Pool) Release(conn *Conn) {
 	endpoint := conn.endpoint
 	listed := p.endpoints[endpoint.id] == endpoint
@@ -142,16 +143,16 @@
 	endpoint.idle = append(endpoint.idle, conn)
 }
 
-// Evict closes a connection and frees its slot. The connection must not be idle in the
-// pool any more.
+// Evict closes a connection and frees its slot. The connection must not be in the pool's
+// idle list any more.
 func (p *Pool) Evict(conn *Conn) {
 	conn.Close()
 	p.open--
 }
 
-// RecordReuse notes how the exchange on a connection ended, which began at writtenAt. It
-// is called right after the exchange, before the connection is released; connections
-// that had not been idle before tell nothing.
+// RecordReuse records the outcome of an exchange that began at writtenAt on a reused
+// connection. It is called right after the exchange, before the connection is released. It
+// does nothing if the connection had not been idle before.
 func (p *Pool) RecordReuse(conn *Conn, writtenAt time.Time, outcome policy.Outcome) {
 	if conn.idleSince.IsZero() {
 		return
@@ -160,7 +161,7 @@
 	p.idleAges.record(writtenAt.Sub(conn.idleSince), broken)
 }
 
-// EvictExpired closes the connections that have been idle for the idle timeout.
+// EvictExpired closes the connections that have been idle for at least the idle timeout.
 func (p *Pool) EvictExpired(now time.Time) {
 	for _, endpoint := range p.endpoints {
 		expired := 0
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -8,41 +8,41 @@
 	"swiftpitch/internal/testsupport"
 )
 
-// TestReserveAtConnLimit checks the limit on descriptors: at the limit an idle connection frees
-// its slot, and with none idle there is no slot.
+// TestReserveAtConnLimit checks the limit on open connections, which bounds the use of file
+// descriptors: at the limit Reserve closes an idle connection, and fails if there is none.
 func TestReserveAtConnLimit(t *testing.T) {
 	pool, endpoint := newTestPool(testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
 	addIdleConn(t, pool, endpoint)
 	pool.maxConns = pool.open
 	if !pool.Reserve() || len(endpoint.idle) != 0 {
-		t.Error("the idle connection did not free its slot")
+		t.Error("Reserve at the limit did not free the slot of the idle connection")
 	}
 	if pool.Reserve() {
-		t.Error("a slot beyond the limit")
+		t.Error("Reserve at the limit succeeded without an idle connection")
 	}
 	pool.CancelReservation()
 }
 
-// TestNoAttemptsAfterDrainGrace checks that no attempt starts after the drain grace, and that one may
-// start within it.
+// TestNoAttemptsAfterDrainGrace checks that an attempt at a draining endpoint may start
+// within the drain grace period and not after it.
 func TestNoAttemptsAfterDrainGrace(t *testing.T) {
 	pool, endpoint := newTestPool("127.0.0.1:9")
 	now := time.Now()
 	draining := EndpointUpdate{ID: "s-0", Addr: endpoint.Addr(), State: policy.Draining}
 	pool.UpdateEndpoint(draining, now)
 	if !pool.AcceptsAttempts(endpoint, now.Add(pool.drainGrace/2)) {
-		t.Error("no attempt within the grace")
+		t.Error("no attempt is accepted within the grace period")
 	}
 	if pool.AcceptsAttempts(endpoint, now.Add(pool.drainGrace)) {
-		t.Error("an attempt after the grace")
+		t.Error("an attempt is accepted after the grace period")
 	}
-	pool.UpdateEndpoint(draining, now.Add(pool.drainGrace)) // reported again: the grace does not begin anew
+	pool.UpdateEndpoint(draining, now.Add(pool.drainGrace)) // a repeated report does not restart the grace period
 	if pool.AcceptsAttempts(endpoint, now.Add(pool.drainGrace)) {
-		t.Error("the grace began anew")
+		t.Error("a repeated report restarted the grace period")
 	}
 	pool.UpdateEndpoint(EndpointUpdate{ID: "s-0", Addr: endpoint.Addr(), State: policy.Serving}, now)
 	if !pool.AcceptsAttempts(endpoint, now.Add(pool.drainGrace)) {
-		t.Error("no attempt at an endpoint that serves again")
+		t.Error("no attempt is accepted at an endpoint that serves again")
 	}
 }
 
@@ -60,11 +60,11 @@
 		pool.UpdateEndpoint(original, time.Now())
 		addIdleConn(t, pool, endpoint)
 		if len(endpoint.idle) == 0 {
-			t.Errorf("%s: no idle connection", name)
+			t.Errorf("%s: no idle connection before the update", name)
 		}
 		pool.UpdateEndpoint(update, time.Now())
 		if len(endpoint.idle) != 0 {
-			t.Errorf("%s: the idle connection is kept", name)
+			t.Errorf("%s: the idle connection is still in the pool", name)
 		}
 	}
 }
