--- a/internal/socket/peek.go
+++ b/internal/socket/peek.go
@@ -1,6 +1,6 @@
-// Package socket looks at the state of a connection's peer without reading from
-// the connection. The front end asks whether a client has disconnected, the upstream
-// connection pool whether an idle connection is still good.
+// Package socket checks the state of a connection's peer without reading from the
+// connection. Package frontend uses it to detect that a client has disconnected, package
+// upstream to check that an idle connection can carry another request.
 //
 // The package keeps no state; its functions may be called from any goroutine.
 package socket
@@ -11,13 +11,13 @@
 	"syscall"
 )
 
-// PeerState is what the kernel knows of a connection's peer.
+// PeerState is the state of a connection's peer as known to the kernel.
 type PeerState int
 
 const (
-	Unknown  PeerState = iota // the connection is no socket, or the look failed
+	Unknown  PeerState = iota // the connection is not a socket, or the check was interrupted
 	NoData                    // open, with nothing to read
-	Readable                  // there is something to read
+	Readable                  // there is data to read
 	Closed                    // closed or reset by the peer, with nothing left to read
 )
 
@@ -41,7 +41,7 @@
 	return state
 }
 
-// peekDescriptor asks the kernel for one byte and leaves it in the receive buffer.
+// peekDescriptor reads one byte of a socket's receive buffer without consuming it.
 func peekDescriptor(fd int) PeerState {
 	var buffer [1]byte
 	count, _, err := syscall.Recvfrom(fd, buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/socket/peek_test.go
+++ b/internal/socket/peek_test.go
@@ -10,7 +10,7 @@
 	"swiftpitch/internal/testsupport"
 )
 
-// TestPeekStates checks the states of a peer, and that a look consumes nothing.
+// TestPeekStates checks the states of a peer, and that Peek consumes no data.
 func TestPeekStates(t *testing.T) {
 	listener := testsupport.Listen(t)
 	peer := testsupport.Dial(t, listener.Addr().String())
@@ -32,7 +32,7 @@
 	}
 	text, err := io.ReadAll(conn)
 	if err != nil || string(text) != "x" {
-		t.Errorf("read %q, %v", text, err)
+		t.Errorf("ReadAll after Peek: %q, error %v; want %q", text, err, "x")
 	}
 	waitForState(t, conn, Closed)
 	conn.Close()
@@ -41,7 +41,8 @@
 	}
 }
 
-// TestPeekOfNonSocketIsUnknown checks that a connection that is no socket has an unknown state.
+// TestPeekOfNonSocketIsUnknown checks that the state of a connection that is not a socket
+// is unknown.
 func TestPeekOfNonSocketIsUnknown(t *testing.T) {
 	conn, peer := net.Pipe()
 	defer conn.Close()
@@ -51,7 +52,8 @@
 	}
 }
 
+// waitForState waits until Peek returns the wanted state.
 func waitForState(t *testing.T, conn net.Conn, want PeerState) {
 	t.Helper()
-	testsupport.Eventually(t, fmt.Sprintf("state %d", want), func() bool { return Peek(conn) == want })
+	testsupport.Eventually(t, fmt.Sprintf("peer state %d", want), func() bool { return Peek(conn) == want })
 }
