--- a/internal/decimal/decimal.go
+++ b/internal/decimal/decimal.go
@@ -1,5 +1,6 @@
-// Package decimal parses the plain decimal figures that clients, endpoints and the
-// counter service send in headers and replies.
+// Package decimal parses the plain decimal numbers that clients, endpoints and the counter
+// service send in headers and responses. It keeps no state; [Parse] may be called from any
+// goroutine.
 package decimal
 
 import (
@@ -7,13 +8,13 @@
 	"strings"
 )
 
-// maxLength bounds the text of a figure in bytes; every figure of that length is finite
-// and below 1e32.
+// maxLength limits the text of a number in bytes. Every number of that length is finite and
+// at most 1e32.
 const maxLength = 32
 
-// Parse reads a non-negative figure made of digits and at most one decimal point. It
-// reports false for anything else that [strconv.ParseFloat] would take (signs,
-// exponents, NaN, infinities, hexadecimal figures, underscores).
+// Parse parses a non-negative number made of digits and at most one decimal point. It
+// returns false for any other text, including what [strconv.ParseFloat] accepts (signs,
+// exponents, NaN, infinities, hexadecimal numbers, underscores).
 func Parse(text string) (float64, bool) {
 	if text == "" || len(text) > maxLength || strings.Trim(text, "0123456789.") != "" {
 		return 0, false
--- a/internal/decimal/decimal_test.go
+++ b/internal/decimal/decimal_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// FuzzParse checks that only plain decimal figures are read, whatever the text.
+// FuzzParse checks that Parse accepts only plain decimal numbers.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{"7", "0.61", "NaN", "Inf", "-1", "+1", "1e9", "0x1p3", "1_0", ".", ""} {
 		f.Add(text)
@@ -13,7 +13,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		v, ok := Parse(text)
 		if ok && (!(v >= 0) || v > 1e32 || strings.Trim(text, "0123456789.") != "") {
-			t.Errorf("%q is read as %v", text, v)
+			t.Errorf("Parse(%q) = %v, want it rejected or a number from 0 to 1e32", text, v)
 		}
 	})
 }
