--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestPartialWriteProvesRequestNeverRan checks that a connection that breaks before the request's last byte
-// is written proves that the request never ran.
+// TestPartialWriteProvesRequestNeverRan checks that a connection that breaks before the
+// request's last byte is written proves that the request never ran.
 func TestPartialWriteProvesRequestNeverRan(t *testing.T) {
 	listener := testsupport.Listen(t)
 	go func() {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestRestartOrNewAddressEvictsIdle guards non-idempotent requests against connections to a process
-// that no longer exists: when discovery reports a restart or a new address, idle
+// TestRestartOrNewAddressEvictsIdle guards non-idempotent requests against connections to
+// a process that no longer exists: when discovery reports a restart or a new address, idle
 // connections are closed.
 func TestRestartOrNewAddressEvictsIdle(t *testing.T) {
 	addr := testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr
