--- a/internal/decimal/decimal_test.go
+++ b/internal/decimal/decimal_test.go
@@ -13,7 +13,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		v, ok := Parse(text)
 		if ok && (!(v >= 0) || v > 1e32 || strings.Trim(text, "0123456789.") != "") {
-			t.Errorf("Parse(%q) = %v, want it rejected or a number from 0 to 1e32", text, v)
+			t.Errorf("Parse(%q) = %v, want only digits and points accepted, and a result from 0 to 1e32", text, v)
 		}
 	})
 }
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -109,7 +109,7 @@
 func (c *Conn) Disconnected() <-chan struct{} { return c.disconnected }
 
 // DetectDisconnect reports whether the client has disconnected. If that is not known yet, it
-// peeks at the socket: the kernel may hold an end of stream that was not read so far.
+// peeks at the socket, because the kernel may hold an end of stream that is not read yet.
 func (c *Conn) DetectDisconnect() bool {
 	select {
 	case <-c.disconnected:
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -14,5 +14,5 @@
 //
 // The methods of Tracker, Parser and [MemoryBudget] may be called from any goroutine. Each
 // Tracker and each read-ahead buffer has its own lock; a Tracker's lock is taken before a
-// buffer's. Neither lock is held while code of the edge node runs.
+// buffer's. Neither lock is held while the handler or other code of the caller runs.
 package frontend
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -26,7 +26,7 @@
 // ClassError reports that a request violates a rule of the class that it names.
 type ClassError struct {
 	Class   string // the class's name
-	Problem string // the rule that is violated
+	Problem string // the violated rule; the class's name follows it in the text
 }
 
 // Error implements error.
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -17,9 +17,9 @@
 	MaxBodyBytes = config.MaxBodyBytes
 	// maxIdempotencyKeyBytes limits the length of an Idempotency-Key.
 	maxIdempotencyKeyBytes = 256
-	// tenantBits is the size of a tenant's number, which is sent as 16 hexadecimal digits.
+	// tenantBits limits a tenant's number, in bits. It is sent as 16 hexadecimal digits.
 	tenantBits = 33
-	// timeoutBits is the size of the number of milliseconds in X-Expires-In-Ms.
+	// timeoutBits limits the number of milliseconds in X-Expires-In-Ms, in bits.
 	timeoutBits = 31
 )
 
--- a/internal/frontend/tracker.go
+++ b/internal/frontend/tracker.go
@@ -9,8 +9,9 @@
 )
 
 // noRequestIdleFactor multiplies the idle time of a connection that never sent a complete
-// request, so that such connections are evicted first. It is finite so that connections that
-// sent one request and stay open can't fill the limit and leave new ones to evict each other.
+// request, so that such connections are evicted first. It is finite, because otherwise
+// connections that sent one request and stay open could fill the limit, and new ones would
+// evict only each other.
 const noRequestIdleFactor = 8
 
 // Tracker records the open connections of clients. It limits their number, and closes the
--- a/internal/frontend/tracker_test.go
+++ b/internal/frontend/tracker_test.go
@@ -58,7 +58,7 @@
 	fresh := dial(t, addr)
 	for i, c := range []*client{established, fresh} {
 		if status := c.get(); status != http.StatusOK {
-			t.Errorf("client %d of established and fresh: status %d, want %d", i, status, http.StatusOK)
+			t.Errorf("client %d (0: established, 1: fresh): status %d, want %d", i, status, http.StatusOK)
 		}
 	}
 }
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -80,8 +80,8 @@
 	p.evictIdle(endpoint)
 }
 
-// RemoveEndpoint removes an endpoint and closes its idle connections. To callers that
-// still refer to it, it is draining since now, or since an earlier start of its drain.
+// RemoveEndpoint removes an endpoint and closes its idle connections. Callers that still
+// hold the endpoint see it as draining, from now or from the earlier start of its drain.
 func (p *Pool) RemoveEndpoint(id string, now time.Time) {
 	endpoint := p.endpoints[id]
 	if endpoint == nil {
--- a/internal/upstream/idleage.go
+++ b/internal/upstream/idleage.go
@@ -12,8 +12,8 @@
 	// earlyBreakWindow is how long after a request was written a break of its connection
 	// is attributed to the connection's idle age.
 	earlyBreakWindow = 20 * time.Millisecond
-	// maxExcessBreakShare limits the share of requests in a bucket whose connection breaks
-	// early, in addition to twice that share in the first bucket.
+	// maxExcessBreakShare is how far the share of requests whose connection breaks early
+	// may exceed twice that share in the first bucket; beyond that an idle age is stale.
 	maxExcessBreakShare = 0.2
 	// minRequestsPerBucket is the number of requests that a bucket needs before its idle
 	// ages may count as stale.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -143,8 +143,8 @@
 	endpoint.idle = append(endpoint.idle, conn)
 }
 
-// Evict closes a connection and frees its slot. The connection must not be in the pool's
-// idle list any more.
+// Evict closes a connection and frees its slot. The caller removes an idle connection from
+// its endpoint's list.
 func (p *Pool) Evict(conn *Conn) {
 	conn.Close()
 	p.open--
