--- a/internal/policy/bucketreading.go
+++ b/internal/policy/bucketreading.go
@@ -9,7 +9,7 @@
 	bucketEpochLength = 25 * time.Second // time for which one counter key holds a tenant's bucket
 	bucketTTL         = time.Minute      // time for which the counter keeps that key: long enough to read it in the next epoch
 	maxSurplus        = 0.25             // fraction of the burst by which a total may show more than a full bucket before it is corrected
-	lossThreshold     = 0.5              // fraction of the burst by which a total must fall for the counter to have lost units
+	lossThreshold     = 0.5              // fraction of the burst by which a total must fall to count as a loss at the counter
 	minCorrection     = 1.0              // units by which a charge must differ from the actual units to be corrected by a call
 )
 
--- a/internal/policy/countercalls.go
+++ b/internal/policy/countercalls.go
@@ -8,8 +8,8 @@
 const (
 	callRateCut         = 0.8  // factor on the call rate for each failed or late call
 	provenRateCut       = 0.93 // factor on the proven rate for each failed or late call
-	callRateRecovery    = 1.25 // factor for each call answered in time while well below the proven rate
-	callRateGrowth      = 1.01 // factor for each call answered in time from there on
+	callRateRecovery    = 1.25 // factor on a call rate well below the proven rate for each call answered in time
+	callRateGrowth      = 1.01 // factor on a higher call rate for each call answered in time
 	minCallRate         = 0.03 // least call rate; its calls find out when the counter has recovered
 	maxCallRate         = 2.0  // greatest call rate; above 1, decisions with less value at risk also call
 	lateReplyShare      = 0.4  // fraction of CounterTimeout after which a reply counts as late
--- a/internal/policy/hardlimit.go
+++ b/internal/policy/hardlimit.go
@@ -8,8 +8,8 @@
 // that needs no counter. The shares of all gateways add up to at most the limit, so that
 // it holds whether or not the gateways know of each other's use.
 //
-// If the shared bucket admits the tenant's requests, it bounds the units that it grants;
-// the shares then divide only the rest of the limit.
+// If the shared bucket admits the tenant's requests, the units that it grants are already
+// limited by the quota; the shares then divide only the part of the limit above the quota.
 type hardLimitShare struct {
 	plan     *Plan
 	gateways float64 // number of gateways that share the limit
--- a/internal/policy/incarnation.go
+++ b/internal/policy/incarnation.go
@@ -10,9 +10,9 @@
 )
 
 // incarnationRecord is the record at the counter by which an incarnation of this gateway,
-// one run of its process, finds out whether there was an earlier one. It does not know how
-// much an earlier incarnation spent of the hard limits; if there was none, it may use its
-// shares at once.
+// one run of its process, finds out whether there was an earlier one. An incarnation does
+// not know how much an earlier one spent of the hard limits; if there was none, it may use
+// its shares at once.
 type incarnationRecord struct {
 	gatewayIndex int
 	startedAt    Time
--- a/internal/policy/overquota.go
+++ b/internal/policy/overquota.go
@@ -2,7 +2,7 @@
 
 const (
 	estimateSmoothingFactor = 0.05        // weight of one request checked at the counter in an estimate
-	initialOverQuotaShare   = 0.3         // initial estimate of the share of first attempts over quota; the rest is the one for retries
+	initialOverQuotaShare   = 0.3         // initial estimate of the share of first attempts over quota; for retries it is 1 minus this
 	minOverQuotaLoss        = minCallRate // least expected loss from forwarding a request, as a fraction of its value
 	minRelativeRisk         = 0.2         // least value at risk, relative to the mean, that is used for the probability of a call
 )
--- a/internal/policy/quota_test.go
+++ b/internal/policy/quota_test.go
@@ -131,7 +131,7 @@
 }
 
 func TestFailingCounterIsCalledLess(t *testing.T) {
-	// A counter that gets more calls than it can serve may fail all of them.
+	// A counter that gets more calls than it can serve fails all of them, so the gateway must call it less.
 	calls := func(outcome policy.Outcome) (count int) {
 		h := newHarness(t, settings(), 6)
 		for range 100 {
--- a/internal/policy/sharedbucket_test.go
+++ b/internal/policy/sharedbucket_test.go
@@ -174,8 +174,8 @@
 			}
 			h.advance(ms, counter.add)
 		})
-		// The total includes units that keep the bucket from being more than full, so the total without the
-		// settlement is the baseline.
+		// The first reading adds what had refilled beyond the burst to the total. The total without a settlement
+		// is therefore the baseline.
 		unsettled := largestTotal(func(*harness, fakeCounter, []policy.StartAttempt) {})
 		if got := settled - unsettled + 1; got < want-1e-6 || got > want+1e-6 {
 			t.Errorf("a request charged 1 unit that used %v took %v units from the bucket, want %v", actualUnits, got, want)
--- a/internal/policy/sparequota.go
+++ b/internal/policy/sparequota.go
@@ -12,7 +12,7 @@
 	held     heldRequest
 	interval int64   // index of the interval that was running at the call
 	elapsed  Time    // time since the start of that interval at the call
-	offered  float64 // units offered here in the interval up to the call, all of them in the total after it
+	offered  float64 // units offered here in the interval up to the call; the total in the reply includes them
 	added    float64 // units that the call adds, which no earlier call has added
 }
 
--- a/internal/policy/tenant.go
+++ b/internal/policy/tenant.go
@@ -21,13 +21,13 @@
 
 	largestRequest   float64 // units of the largest request seen
 	maxRequestUnits  float64 // units of the largest possible request; 0: not known
-	sharedBucketUsed bool    // a request has taken the shared bucket path before
+	sharedBucketUsed bool    // an earlier request was handled by admitBySharedBucket
 	inFlight         int     // attempts without an outcome
 
 	interval              time.Duration // time for which an allocation is valid
 	intervalIndex         int64         // index of the running interval, counted from the clock's epoch
 	intervalsSinceRequest int           // intervals that ended since the last request
-	offered               float64       // units requested here in the running interval, including rejected requests
+	offered               float64       // units requested here in the running interval, including rejected requests but not marked retries
 	reported              float64       // part of offered that spare quota calls have already added to the counter
 	localDemand           float64       // units requested here per interval, smoothed
 	fleetDemand           float64       // units requested at all gateways per interval, smoothed
