--- a/internal/frontend/readahead_test.go
+++ b/internal/frontend/readahead_test.go
@@ -56,7 +56,7 @@
 			t.Errorf("%d bytes buffered, %d reserved, %d free: reserve() = %v, want %v", c.buffered, c.reserved, c.free, got, c.wantMore)
 		}
 		if free := memory.Free(); free < 0 || free+a.reserved != int64(c.free+c.reserved) {
-			t.Errorf("%d bytes buffered, %d reserved, %d free: afterwards %d free, %d reserved", c.buffered, c.reserved, c.free, free, a.reserved)
+			t.Errorf("%d bytes buffered, %d reserved, %d free: afterwards %d free, %d reserved; want the same total", c.buffered, c.reserved, c.free, free, a.reserved)
 		}
 	}
 }
