--- a/internal/edge/endpoints.go
+++ b/internal/edge/endpoints.go
@@ -9,21 +9,21 @@
 	"swiftpitch/internal/upstream"
 )
 
-// endpointStateByLifecycle translates the lifecycles of discovery.
+// endpointStateByLifecycle maps the lifecycle values of discovery to the policy's states.
 var endpointStateByLifecycle = map[string]policy.EndpointState{
 	discovery.Serving:  policy.Serving,
 	discovery.Draining: policy.Draining,
 	discovery.Deleted:  policy.Removed,
 }
 
-// listedEndpoints is what one list of discovery names.
+// listedEndpoints holds the IDs and addresses in one list from discovery.
 type listedEndpoints struct {
 	ids              map[string]bool
 	servingAddresses map[string]bool
 }
 
-// applyList brings the connection pool up to date with a list of discovery and notifies the
-// policy.
+// applyList updates the connection pool from a list of endpoints and notifies the policy. The
+// discovery client calls it from its own goroutine, without holding n.mu.
 func (n *Node) applyList(list discovery.List, scope policy.UpdateScope) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -49,7 +49,7 @@
 	n.dispatch(policy.EndpointsUpdated{Scope: scope, Endpoints: endpoints})
 }
 
-// policyEndpoint translates an instance of discovery for the policy.
+// policyEndpoint converts an instance in discovery's list to an endpoint of the policy.
 func (n *Node) policyEndpoint(instance discovery.Instance, state policy.EndpointState) policy.Endpoint {
 	return policy.Endpoint{
 		ID:        instance.ID,
@@ -61,9 +61,10 @@
 	}
 }
 
-// removeUnlisted removes from the pool the endpoints that a list shows to be gone without
-// naming them, and returns those of which the policy does not learn by the scope of the
-// update. The lock is held.
+// removeUnlisted removes from the pool the endpoints that do not occur in a list and, by that
+// list, no longer exist: all others if it is a full list, else those whose address now belongs
+// to a serving endpoint of the list. It returns the latter, because the policy can't infer
+// their removal from the scope of the update. The caller holds n.mu.
 func (n *Node) removeUnlisted(listed listedEndpoints, scope policy.UpdateScope, now time.Time) []policy.Endpoint {
 	var removed []policy.Endpoint
 	for id, endpoint := range n.pool.Endpoints() {
@@ -72,7 +73,7 @@
 		case scope == policy.FullUpdate:
 			n.pool.RemoveEndpoint(id, now)
 		case listed.servingAddresses[endpoint.Addr()]:
-			// Another process has its address: a request forwarded there would reach that one.
+			// A new process listens at its address and would get the requests meant for it.
 			n.pool.RemoveEndpoint(id, now)
 			removed = append(removed, policy.Endpoint{ID: id, State: policy.Removed})
 		}
--- a/internal/edge/handler.go
+++ b/internal/edge/handler.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// readyPath is where the front and the deployment ask whether this node takes requests.
+	// readyPath is the path of the readiness checks that the proxy in front of the nodes and the
+	// deployment make.
 	readyPath = "/-/ready"
-	// maxUnreservedBodyBytes is the longest body, in bytes, that does not count against the memory
-	// budget, so that long bodies that are declared and never sent cannot keep out ordinary
-	// requests.
+	// maxUnreservedBodyBytes is the longest body that does not count against the memory budget.
+	// Clients that declare long bodies and never send them exhaust the budget, but do not keep
+	// out ordinary requests.
 	maxUnreservedBodyBytes = 4 << 10
 )
 
-// errDuplicateID tells that a client reuses the id of a request that is still open.
+// errDuplicateID is returned for a request with the ID of another one that is still open.
 var errDuplicateID = errors.New("a request of this id is open")
 
-// ServeHTTP answers one request of a client or of the front. The HTTP library calls it on
-// a goroutine for each connection.
+// ServeHTTP implements [http.Handler]: it answers a client's request or a readiness check. The
+// HTTP server calls it from the goroutine of each connection.
 func (n *Node) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	if isReadinessCheck(req) {
 		n.serveReady(w)
@@ -47,7 +48,7 @@
 	return req.RequestURI == readyPath && req.Method == http.MethodGet && req.ContentLength == 0
 }
 
-// serveReady answers a readiness check.
+// serveReady answers a readiness check: 200 unless the node is draining or no endpoint serves.
 func (n *Node) serveReady(w http.ResponseWriter) {
 	n.mu.Lock()
 	ready := !n.draining && n.pool.ServingEndpoints() > 0
@@ -60,16 +61,17 @@
 	}
 }
 
-// bodyReservation returns how much of the memory budget a body takes.
+// bodyReservation returns how many bytes of the memory budget a body of a length needs.
 func bodyReservation(length int64) int64 {
-	if length <= maxUnreservedBodyBytes || length > frontend.MaxBodyBytes { // longer ones are not read
+	if length <= maxUnreservedBodyBytes || length > frontend.MaxBodyBytes { // bodies over MaxBodyBytes are not read
 		return 0
 	}
 	return length
 }
 
-// receiveHTTP reads a request and hands it to the policy. It ends the handler without a
-// response if the request must be dropped.
+// receiveHTTP reads a request and passes it to the policy. If the client has disconnected or
+// the connection has been evicted, it panics with [http.ErrAbortHandler], which drops the
+// request without a response.
 func (n *Node) receiveHTTP(req *http.Request) (*request, error) {
 	parsed, err := n.parser.Parse(req)
 	if err != nil {
@@ -86,8 +88,8 @@
 	return r, nil
 }
 
-// awaitAnswer waits for a request's final answer. It ends the handler if the client
-// disconnects meanwhile.
+// awaitAnswer waits for a request's final answer. It panics with [http.ErrAbortHandler] if the
+// client disconnects first.
 func (n *Node) awaitAnswer(req *http.Request, r *request) answer {
 	var disconnected <-chan struct{}
 	if r.conn != nil {
@@ -100,14 +102,14 @@
 	case <-disconnected:
 	}
 	n.clientDisconnected(r)
-	panic(http.ErrAbortHandler) // a return would answer 200
+	panic(http.ErrAbortHandler) // returning would send a response with status 200
 }
 
 // respond writes a request's final answer.
 func (n *Node) respond(w http.ResponseWriter, a answer) {
 	header := w.Header()
 	header["Content-Length"] = []string{strconv.Itoa(len(a.body))}
-	header["Content-Type"] = a.contentType // as the endpoint named it; the library would guess
+	header["Content-Type"] = a.contentType // of the endpoint; nil: net/http must not guess one
 	if n.clients.Draining() {
 		header.Set("Connection", "close")
 	}
--- a/internal/edge/healthcheck.go
+++ b/internal/edge/healthcheck.go
@@ -9,21 +9,22 @@
 	"swiftpitch/internal/upstream"
 )
 
-// healthPath is where endpoints answer health checks.
+// healthPath is the path of an endpoint's health check.
 const healthPath = "/-/healthy"
 
-// pastDeadline ends all reading and writing of a connection at once.
+// pastDeadline, set as a connection's deadline, makes all reads and writes fail at once.
 var pastDeadline = time.Unix(1, 0)
 
-// healthCheck is one health check under way.
+// healthCheck is a health check in progress.
 type healthCheck struct {
 	endpointID string
 	endpoint   *upstream.Endpoint
-	addr       string // of endpoint when the check started
+	addr       string // address of endpoint when the check started
 	startedAt  time.Time
 }
 
-// startHealthCheck checks an endpoint's health. The lock is held.
+// startHealthCheck starts a health check, or reports it to the policy as failed if there is no
+// connection for it. The caller holds n.mu.
 func (n *Node) startHealthCheck(endpointID string) {
 	now := time.Now()
 	check := &healthCheck{endpointID: endpointID, endpoint: n.pool.Endpoint(endpointID), startedAt: now}
@@ -40,8 +41,8 @@
 	n.workers.Go(func() { n.runHealthCheck(check, conn) })
 }
 
-// runHealthCheck carries a health check through on conn, or on a new connection if conn
-// is nil. It runs in the check's goroutine, without the lock.
+// runHealthCheck executes a health check on conn, or on a new connection if conn is nil. It
+// runs in the check's goroutine; the caller does not hold n.mu.
 func (n *Node) runHealthCheck(check *healthCheck, conn *upstream.Conn) {
 	// A health check without a response within the dial timeout has failed.
 	ctx, cancel := context.WithTimeout(n.ctx, n.pool.DialTimeout())
@@ -65,8 +66,8 @@
 	n.endHealthCheck(check, response)
 }
 
-// dialForHealthCheck dials a connection for a health check, in the slot of the pool that
-// is reserved for it. It returns nil if the dial fails or the check may no longer start.
+// dialForHealthCheck dials a connection for a health check, for which a slot of the pool is
+// reserved. It returns nil if the dial fails or the endpoint's drain grace is over.
 func (n *Node) dialForHealthCheck(ctx context.Context, check *healthCheck) *upstream.Conn {
 	netConn, err := n.dial(ctx, "tcp", check.addr)
 	n.mu.Lock()
@@ -82,8 +83,8 @@
 	return conn
 }
 
-// exchangeHealthCheck sends a health check on a connection and reads the response. When
-// ctx ends it gives up; the connection is not reusable then.
+// exchangeHealthCheck sends a health check on a connection and reads the response. It gives up
+// when ctx ends, after which the connection is not reusable.
 func exchangeHealthCheck(ctx context.Context, conn *upstream.Conn, addr string) upstream.Response {
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })
 	text := "GET " + healthPath + " HTTP/1.1\r\nHost: " + addr + "\r\n\r\n"
@@ -97,7 +98,7 @@
 	return response
 }
 
-// endHealthCheck notifies the policy of a health check's result. The lock is held.
+// endHealthCheck notifies the policy of a health check's result. The caller holds n.mu.
 func (n *Node) endHealthCheck(check *healthCheck, response upstream.Response) {
 	n.dispatch(policy.HealthCheckDone{
 		Endpoint: check.endpointID,
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -3,33 +3,34 @@
 import "swiftpitch/internal/frontend"
 
 const (
-	// clientConnShare is the share of the descriptors that client connections may take.
+	// clientConnShare is the share of the file descriptors that client connections may use.
 	clientConnShare = 0.42
-	// upstreamConnShare is the share of the descriptors that connections to endpoints may take.
+	// upstreamConnShare is the share of the file descriptors for connections to endpoints.
 	upstreamConnShare = 0.42
-	// reservedDescriptors is what the process needs beside the connections of clients and to
-	// endpoints: its three streams, the runtime's two, the listener, a connection to discovery
-	// and to the counter at the old address and the new one, the configuration while it is
-	// read, and new connections that are about to evict others. The rest is for both alike.
+	// reservedDescriptors is the number of file descriptors for all but connections to clients
+	// and endpoints: three standard streams, two of the Go runtime, the listener, connections to
+	// discovery and to the counter, each at the old and the new address, the configuration file
+	// while it is read, and new connections that are about to evict others. Clients and endpoints
+	// get at most half of the rest each.
 	reservedDescriptors = 16
-	// defaultClientConns is how many connections clients may have where the number of
-	// descriptors is not configured.
+	// defaultClientConns is the limit on client connections if the number of file descriptors is
+	// not configured.
 	defaultClientConns = 512
 
-	// bodyMemoryShare is the share of the memory that bodies in hand may take.
+	// bodyMemoryShare is the share of the process's memory for the memory budget.
 	bodyMemoryShare = 0.1
-	// defaultBodyMemoryBytes is how many bytes those may take where the memory is not configured.
+	// defaultBodyMemoryBytes is the memory budget if the process's memory is not configured.
 	defaultBodyMemoryBytes = 64 << 20
 )
 
-// maxConns is how many connections of a kind there may be, by the descriptors that
-// the process may hold and the kind's share of them.
+// maxConns returns the limit on the connections of one kind, to clients or to endpoints, from
+// the number of file descriptors of the process and the share of that kind.
 func maxConns(descriptors int, share float64) int {
 	return max(min(int(float64(descriptors)*share), (descriptors-reservedDescriptors)/2), 1)
 }
 
-// maxClientConns is how many connections clients may have; descriptors is 0 where their
-// number is not configured.
+// maxClientConns returns the limit on client connections. descriptors is 0 if their number is
+// not configured.
 func maxClientConns(descriptors int) int {
 	if descriptors <= 0 {
 		return defaultClientConns
@@ -37,8 +38,8 @@
 	return maxConns(descriptors, clientConnShare)
 }
 
-// maxUpstreamConns is how many connections to endpoints there may be; descriptors is 0
-// where their number is not configured, and the result 0 leaves it to the pool.
+// maxUpstreamConns returns the limit on connections to endpoints. descriptors is 0 if their
+// number is not configured; the result is 0 then, which selects the pool's default.
 func maxUpstreamConns(descriptors int) int {
 	if descriptors <= 0 {
 		return 0
@@ -46,8 +47,9 @@
 	return maxConns(descriptors, upstreamConnShare)
 }
 
-// bodyMemoryBudget is how many bytes bodies in hand may take; memory is 0 where it is not
-// configured. One body of the largest size always fits.
+// bodyMemoryBudget returns the bytes that request bodies and read-ahead buffers may take
+// together. memory, in bytes, is 0 if it is not configured. The budget always fits one body of
+// the largest size.
 func bodyMemoryBudget(memory int64) int64 {
 	if memory <= 0 {
 		return defaultBodyMemoryBytes
