--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -17,57 +17,56 @@
 	"swiftpitch/internal/upstream"
 )
 
-// Config is what an edge node is started with.
+// Config configures an edge node.
 type Config struct {
-	ListenAddress    string // address for clients
-	DiscoveryAddress string // address of discovery; empty: the known list stays
-	CounterAddress   string // address of the counter; empty: none
-	Seed             uint64 // of this incarnation's random numbers
-	MaxDescriptors   int    // descriptors that the process may hold; 0: not configured
-	MemoryBytes      int64  // bytes that it may take; 0: not configured
+	ListenAddress    string // host and port on which clients connect
+	DiscoveryAddress string // empty: KnownEndpoints stay in use
+	CounterAddress   string // empty: there is no counter
+	Seed             uint64 // seeds the random numbers of this process
+	MaxDescriptors   int    // file descriptors that the process may have open; 0: not configured
+	MemoryBytes      int64  // memory that the process may use; 0: not configured
 	KnownEndpoints   discovery.List
 	Settings         *config.Settings
 }
 
-// Node is one edge node. All fields below mu are guarded by it; nothing that
-// blocks is done while it is held.
+// Node is an edge node. mu guards all fields below it; no code that holds mu blocks.
 type Node struct {
 	cfg       Config
 	log       *slog.Logger
-	startedAt time.Time   // reading of the monotonic clock that epoch belongs to
+	startedAt time.Time   // when the node was created, with the monotonic clock's reading
 	epoch     policy.Time // Unix time at startedAt
 	ctx       context.Context
 	stop      context.CancelFunc
 	dial      func(ctx context.Context, network, addr string) (net.Conn, error) // to endpoints
-	workers   sync.WaitGroup                                                    // goroutines besides those of the listener
+	workers   sync.WaitGroup                                                    // goroutines of the node, without those that serve clients
 
 	phases     shutdownPhases // of the graceful shutdown
 	parser     *frontend.Parser
-	memory     *frontend.MemoryBudget // for bodies, and for what is read ahead of answers
+	memory     *frontend.MemoryBudget // for request bodies and read-ahead buffers
 	clients    *frontend.Tracker      // has a lock of its own
-	fatalError chan error             // takes the one error that ends the node
+	fatalError chan error             // receives the error that ends the node
 
 	mu          sync.Mutex
 	gateway     policyGateway
-	events      []policy.Event // not yet stepped, oldest first
-	actions     []policy.Action
-	dispatching bool // events are being stepped
+	events      []policy.Event  // to be dispatched, oldest first
+	actions     []policy.Action // returned for the current event; reused
+	dispatching bool            // dispatch is running
 	requests    map[string]*request
 	pool        *upstream.Pool
 	discovery   *discovery.Client
-	counter     *counterclient.Client // nil: there is no counter
+	counter     *counterclient.Client // nil: not configured
 	draining    bool                  // a graceful shutdown has begun
-	rejecting   bool                  // all is answered, as the process is about to be killed
-	closed      bool                  // no event is stepped any more
+	rejecting   bool                  // new requests are rejected, as the process is about to be killed
+	closed      bool                  // no event is dispatched any more
 }
 
-// policyGateway is what a node needs of a [policy.Gateway].
+// policyGateway is the part of [policy.Gateway] that a Node calls.
 type policyGateway interface {
 	Step(now policy.Time, ev policy.Event, out []policy.Action) []policy.Action
 }
 
-// New returns an edge node that has not yet opened any socket. It fails on settings that the
-// policy does not take.
+// New returns an edge node that has not opened any socket. It returns an error if the policy
+// does not accept the settings.
 func New(cfg Config, log *slog.Logger) (*Node, error) {
 	startedAt := time.Now()
 	epoch := policy.Time(startedAt.UnixNano())
@@ -99,7 +98,8 @@
 	return n, nil
 }
 
-// start begins to follow discovery and to execute the policy's actions.
+// start passes the known endpoints to the policy and starts the goroutines that call discovery
+// and evict idle connections.
 func (n *Node) start() {
 	n.applyList(n.cfg.KnownEndpoints, policy.CachedUpdate)
 	if n.cfg.DiscoveryAddress != "" {
@@ -108,7 +108,8 @@
 	n.workers.Go(n.evictIdleConns)
 }
 
-// close ends all that start began. No event is stepped afterwards.
+// close ends the open attempts and closes idle connections to endpoints, and waits for the
+// node's goroutines. No event is dispatched after that.
 func (n *Node) close() {
 	n.stop()
 	n.mu.Lock()
@@ -126,8 +127,8 @@
 	n.workers.Wait()
 }
 
-// evictIdleConns closes connections to endpoints that were idle for too long, until the node
-// stops.
+// evictIdleConns closes connections to endpoints that have reached the idle timeout, until the
+// node stops. It runs in its own goroutine.
 func (n *Node) evictIdleConns() {
 	ticker := time.NewTicker(n.pool.SweepInterval())
 	defer ticker.Stop()
@@ -143,12 +144,13 @@
 	}
 }
 
-// now reads the policy's clock: the wall clock as it was at the start, moved on
-// by the monotonic one.
+// now returns the policy's time: the wall-clock time of the node's start plus the time that
+// has passed since by the monotonic clock.
 func (n *Node) now() policy.Time { return n.epoch + time.Since(n.startedAt) }
 
-// dispatch hands an event to the policy and executes the actions that it returns. Events
-// that come up meanwhile wait their turn. The lock is held.
+// dispatch passes an event to the policy and executes the actions that the policy returns. An
+// event that an action causes is queued until the actions before it are executed. The caller
+// holds n.mu.
 func (n *Node) dispatch(ev policy.Event) {
 	n.events = append(n.events, ev)
 	if n.dispatching || n.closed {
@@ -168,8 +170,8 @@
 	n.dispatching = false
 }
 
-// recoverPanic ends the node if the policy panics. The HTTP library would recover from that
-// by itself and leave a node that receives requests and never steps again.
+// recoverPanic makes the node end with an error if the policy panics. Otherwise net/http would
+// recover the panic, and the node would receive requests but never dispatch an event again.
 func (n *Node) recoverPanic() {
 	cause := recover()
 	if cause == nil {
@@ -180,7 +182,7 @@
 	n.fatalError <- fmt.Errorf("the policy panicked: %v", cause)
 }
 
-// execute executes one action of the policy. The lock is held.
+// execute executes one action of the policy. The caller holds n.mu.
 func (n *Node) execute(action policy.Action) {
 	switch action := action.(type) {
 	case policy.StartAttempt:
@@ -197,13 +199,14 @@
 		n.startTimer(action.TimerID, action.After)
 	case policy.CheckHealth:
 		n.startHealthCheck(action.Endpoint)
-	case policy.WatchEndpoints: // discovery is followed throughout
+	case policy.WatchEndpoints: // the discovery client runs from start to close
 	default:
 		n.log.Error("unknown action of the policy", "action", fmt.Sprintf("%T", action))
 	}
 }
 
-// cancelAttempt stops waiting for an attempt, if there is one of that number. The lock is held.
+// cancelAttempt ends an attempt as canceled, if there is one of that number. The caller holds
+// n.mu.
 func (n *Node) cancelAttempt(action policy.CancelAttempt) {
 	r := n.requests[action.RequestID]
 	if r == nil || action.Attempt < 0 || action.Attempt >= len(r.attempts) {
@@ -212,12 +215,12 @@
 	n.endAttempt(r.attempts[action.Attempt], policy.Canceled)
 }
 
-// startTimer notifies the policy once a time has passed.
+// startTimer starts a timer that notifies the policy when it fires.
 func (n *Node) startTimer(timerID uint64, after time.Duration) {
 	n.afterFunc(after, func() { n.dispatch(policy.TimerFired{TimerID: timerID}) })
 }
 
-// afterFunc runs f under the lock once d has passed, unless the node has closed.
+// afterFunc runs f with n.mu held once d has passed, unless the node has closed.
 func (n *Node) afterFunc(d time.Duration, f func()) *time.Timer {
 	return time.AfterFunc(d, func() {
 		n.mu.Lock()
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -9,43 +9,44 @@
 )
 
 const (
-	// deadlineGuardMargin is how long before a request's deadline it is failed if the
-	// policy has not ended it.
+	// deadlineGuardMargin is how long before its deadline a request gets an error response if the
+	// policy has not answered it.
 	deadlineGuardMargin = 8 * time.Millisecond
-	// disconnectCheckAge is how long a request may have waited before it is worth a look
-	// whether its client is still there: no attempt may begin 0.1 s after that has gone.
+	// disconnectCheckAge is the age from which a request's connection is checked for a
+	// disconnected client before each attempt: no attempt may start 0.1 s or more after the
+	// client has disconnected.
 	disconnectCheckAge = 50 * time.Millisecond
 )
 
-// The statuses of final answers that no endpoint gave.
+// The statuses of final answers that carry no endpoint's response.
 const (
-	statusRejected = http.StatusTooManyRequests // a retry does no harm
+	statusRejected = http.StatusTooManyRequests // the client may safely retry
 	statusFailed   = http.StatusBadGateway
 	statusExpired  = http.StatusGatewayTimeout
 )
 
-// request is one client's request from its last byte to its final answer and
-// the end of its last attempt. The node's lock guards it.
+// request is a client's request. It is open from when its last byte has been read until it has
+// its final answer and its last attempt has ended. Node.mu guards it.
 type request struct {
 	id               string
-	forwardHead      []byte // the forwarded head up to the deadline's value
+	forwardHead      []byte // head for endpoints, up to the value of X-Expires-In-Ms
 	body             []byte
-	conn             *frontend.Conn // nil if it did not come through a listener
+	conn             *frontend.Conn // nil: the request did not come through a listener
 	receivedAt       time.Time      // when its last byte was read
 	deadline         time.Time
-	dedupWindow      time.Duration // for which repeats are dropped; 0: the class has no key
+	dedupWindow      time.Duration // for which endpoints drop duplicates; 0: the class has no idempotency key
 	deadlineGuard    *time.Timer   // fails the request shortly before its deadline
 	attempts         []*attempt
 	attemptsInFlight int         // attempts without an outcome
-	answered         bool        // answered, or the client has disconnected
-	answer           chan answer // takes the one final answer
+	answered         bool        // has its final answer, or its client has disconnected
+	answer           chan answer // receives the one final answer
 }
 
 // answer is a request's final answer.
 type answer struct {
 	status      int
 	body        []byte
-	contentType []string // of the body, if it was named
+	contentType []string // of the body, as in the endpoint's response; nil: not named
 	retryAfter  time.Duration
 }
 
@@ -63,8 +64,8 @@
 	}
 }
 
-// receive hands a request to the policy. It reports false, and takes nothing, if a request
-// of that id is open.
+// receive adds a request to the open ones and passes it to the policy. It reports false and
+// does nothing if a request with the same ID is open.
 func (n *Node) receive(r *request, event policy.RequestReceived) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,7 +84,8 @@
 	return true
 }
 
-// expire fails a request whose client is about to give up. The lock is held.
+// expire answers a request with [statusExpired], because its deadline or the end of the process
+// is near. The caller holds n.mu.
 func (n *Node) expire(r *request) {
 	n.abort(r, answer{status: statusExpired})
 }
@@ -95,22 +97,22 @@
 	n.clientDisconnectedLocked(r)
 }
 
-// clientDisconnectedLocked is clientDisconnected under the lock.
+// clientDisconnectedLocked is clientDisconnected for a caller that holds n.mu.
 func (n *Node) clientDisconnectedLocked(r *request) {
 	n.abort(r, answer{})
 }
 
-// detectDisconnect looks, before an attempt of a request that has waited, whether its client
-// has disconnected: the goroutine that reads the connection may not have been scheduled yet.
-// The lock is held.
+// detectDisconnect checks before an attempt whether the client has disconnected, and ends the
+// request if so. It does that for requests older than disconnectCheckAge, because the goroutine
+// that reads the connection may not have been scheduled yet. The caller holds n.mu.
 func (n *Node) detectDisconnect(r *request, now time.Time) {
 	if r.conn != nil && !r.answered && now.Sub(r.receivedAt) > disconnectCheckAge && r.conn.DetectDisconnect() {
 		n.clientDisconnectedLocked(r)
 	}
 }
 
-// abort gives a request its final answer without the policy, and tells the policy that
-// nothing more is owed. The lock is held.
+// abort gives a request its final answer without the policy, and notifies the policy that the
+// request needs no answer any more. The caller holds n.mu.
 func (n *Node) abort(r *request, a answer) {
 	if r.answered {
 		return
@@ -120,7 +122,8 @@
 	n.removeIfDone(r)
 }
 
-// completeRequest carries out a final answer of the policy. The lock is held.
+// completeRequest delivers the final answer that the policy chose for a request. It does
+// nothing if the request already has one. The caller holds n.mu.
 func (n *Node) completeRequest(id string, a answer) {
 	r := n.requests[id]
 	if r == nil || r.answered {
@@ -130,14 +133,15 @@
 	n.removeIfDone(r)
 }
 
-// deliverAnswer gives a request its one final answer. The lock is held.
+// deliverAnswer gives a request its one final answer. The caller holds n.mu.
 func (n *Node) deliverAnswer(r *request, a answer) {
 	r.answered = true
 	r.deadlineGuard.Stop()
 	r.answer <- a
 }
 
-// removeIfDone forgets a request that is answered and has no attempt in flight. The lock is held.
+// removeIfDone removes a request from the open ones if it is answered and has no attempt in
+// flight. The caller holds n.mu.
 func (n *Node) removeIfDone(r *request) {
 	if r.answered && r.attemptsInFlight == 0 && n.requests[r.id] == r {
 		delete(n.requests, r.id)
--- a/internal/edge/shutdown.go
+++ b/internal/edge/shutdown.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// acceptDuration is how long new connections are accepted after a stop was asked for;
-	// readDuration is how long after that a request on its way has to come whole. What
-	// comes later than 0.7 s after SIGTERM would have to be answered before SIGKILL.
+	// acceptDuration is how long new connections are accepted after the request to shut down;
+	// readDuration is how long after that partly received requests are still read. A request
+	// received more than 0.7 s after SIGTERM could be cut off by SIGKILL before its deadline.
 	acceptDuration = 500 * time.Millisecond
 	readDuration   = 150 * time.Millisecond
-	// SIGKILL comes after SIGTERM no sooner than the longest deadline, counted as
-	// maxCountedDeadline where it is longer, and killSlack. killMargin before that, what is still
-	// open gets its final answer; writeDuration is for writing those.
+	// SIGKILL follows SIGTERM no sooner than after the longest deadline of all classes, counted as
+	// at most maxCountedDeadline, plus killGrace. Requests that are open killMargin before that
+	// get their final answer; writeDuration is the time for writing these answers.
 	maxCountedDeadline = 3 * time.Second
 	killGrace          = 700 * time.Millisecond
 	killMargin         = 100 * time.Millisecond
 	writeDuration      = killMargin / 2
 )
 
-// shutdownPhases are the steps of a graceful shutdown.
+// shutdownPhases holds the durations of the phases of a graceful shutdown.
 type shutdownPhases struct {
-	acceptDuration time.Duration // after the stop, new connections are accepted until then
-	readDuration   time.Duration // and requests on their way are read for this long more
-	answerTimeout  time.Duration // after the stop, all is answered by then
-	writeDuration  time.Duration // and written by this much later
+	acceptDuration time.Duration // from the request to shut down until new connections are refused
+	readDuration   time.Duration // after that, for reading requests that are partly received
+	answerTimeout  time.Duration // from the request to shut down until all requests are answered
+	writeDuration  time.Duration // after that, for writing the answers
 }
 
-// newShutdownPhases returns the phases for clients that wait no longer than a deadline.
+// newShutdownPhases returns the durations for the longest deadline of all classes.
 func newShutdownPhases(longestDeadline time.Duration) shutdownPhases {
 	return shutdownPhases{
 		acceptDuration: acceptDuration,
@@ -44,8 +44,9 @@
 	}
 }
 
-// Run serves clients until ctx is done, then finishes what it has received. It returns nil
-// after a graceful shutdown, also if that had to cut connections off.
+// Run serves clients until ctx is done and then shuts down gracefully: it answers the requests
+// that it has received. It returns nil after a graceful shutdown, even if connections
+// had to be cut off.
 func (n *Node) Run(ctx context.Context) error {
 	ln, err := net.Listen("tcp", n.cfg.ListenAddress)
 	if err != nil {
@@ -54,7 +55,7 @@
 	return n.serve(ctx, ln.(*net.TCPListener))
 }
 
-// serve is Run on a listener.
+// serve is Run on an open listener.
 func (n *Node) serve(ctx context.Context, ln *net.TCPListener) error {
 	server := frontend.NewServer(ln, frontend.ServerConfig{
 		Handler:         n,
@@ -77,8 +78,8 @@
 	}
 }
 
-// shutDown runs the phases of a graceful shutdown. A value comes from served when the
-// server has stopped accepting.
+// shutDown executes the phases of a graceful shutdown. served delivers a value when the server
+// has stopped accepting.
 func (n *Node) shutDown(server *frontend.Server, served <-chan error) error {
 	requestedAt := time.Now()
 	n.log.Info("draining")
@@ -104,8 +105,8 @@
 	return server.Close()
 }
 
-// failPending gives all open requests their final answer, as their process is about to
-// be killed. The lock is held.
+// failPending gives all open requests their final answer, because the process is about to be
+// killed, and has later requests rejected. The caller holds n.mu.
 func (n *Node) failPending() {
 	n.rejecting = true
 	for _, r := range n.requests {
@@ -113,7 +114,7 @@
 	}
 }
 
-// longestDeadline is the longest that a client waits, over all classes.
+// longestDeadline returns the longest deadline of all classes.
 func longestDeadline(settings *config.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range settings.Classes {
--- a/internal/edge/upstreamconn.go
+++ b/internal/edge/upstreamconn.go
@@ -7,9 +7,9 @@
 	"swiftpitch/internal/upstream"
 )
 
-// acquireConn returns an idle connection to an endpoint. Where there is none the result
-// is nil with ok true: a slot for a new connection is reserved. ok is false if nothing
-// may start at the endpoint or the pool is full. The lock is held.
+// acquireConn returns an idle connection to an endpoint. If there is none it reserves a slot
+// for a new connection and returns nil and true. ok is false if the endpoint does not accept
+// attempts or the pool is full. The caller holds n.mu.
 func (n *Node) acquireConn(endpoint *upstream.Endpoint, now time.Time) (conn *upstream.Conn, ok bool) {
 	if !n.pool.AcceptsAttempts(endpoint, now) {
 		return nil, false
@@ -20,8 +20,8 @@
 	return nil, n.pool.Reserve()
 }
 
-// completeDial takes in the result of a dial in a reserved slot. It returns nil, with the
-// slot given back, if the dial failed or the node has closed. The lock is held.
+// completeDial wraps a dialed connection, for which a slot of the pool is reserved. It returns
+// nil and frees the slot if the dial failed or the node has closed. The caller holds n.mu.
 func (n *Node) completeDial(netConn net.Conn, err error, endpoint *upstream.Endpoint, addr string) *upstream.Conn {
 	if err != nil {
 		n.pool.CancelReservation()
