--- a/internal/edge/attempt_test.go
+++ b/internal/edge/attempt_test.go
@@ -16,8 +16,8 @@
 	"swiftpitch/internal/upstream"
 )
 
-// blockDials notifies of each dial to an endpoint that starts. Those that are to be held
-// succeed only once release is closed, whatever the dial timeout.
+// blockDials replaces the node's dials to endpoints. Each dial sends to started when it begins,
+// and waits until release is closed if shouldBlock reports true; the dial timeout has no effect.
 func (h *harness) blockDials(shouldBlock func() bool) (started <-chan struct{}, release chan<- struct{}) {
 	dialing, released := make(chan struct{}, 8), make(chan struct{})
 	h.node.mu.Lock()
@@ -32,9 +32,8 @@
 	return dialing, released
 }
 
-// TestDrainGraceEndsDuringDial checks the drain grace where a connection comes up late:
-// the endpoint began to drain, and the grace is over, just before the first byte would
-// be written.
+// TestDrainGraceEndsDuringDial checks that nothing is written to an endpoint whose drain grace
+// ends while its connection is dialed, and that the request is rejected as never run.
 func TestDrainGraceEndsDuringDial(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
@@ -48,16 +47,16 @@
 	h.node.mu.Unlock()
 	close(release)
 	if resp, _ := c.readResponse(); resp.StatusCode != http.StatusTooManyRequests { // it never ran
-		t.Errorf("status %d", resp.StatusCode)
+		t.Errorf("status %d, want %d", resp.StatusCode, http.StatusTooManyRequests)
 	}
 	if got := endpoint.Requests(); len(got) > 0 {
-		t.Errorf("endpoint got %q", got)
+		t.Errorf("the endpoint received %q, want no request", got)
 	}
 }
 
-// TestDedupWindowEndsDuringDial checks requests with an idempotency key where a
-// connection comes up late: the dedup window of the first attempt, which may have run,
-// is over just before the retry would be written.
+// TestDedupWindowEndsDuringDial checks that a retry with an idempotency key is not written if
+// the dedup window of the first attempt, which may have run, ends while the retry's connection
+// is dialed.
 func TestDedupWindowEndsDuringDial(t *testing.T) {
 	fault := testsupport.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 	a, b := testsupport.StartFakeEndpoint(t, fault), testsupport.StartFakeEndpoint(t, fault)
@@ -66,24 +65,24 @@
 	c := h.dial()
 	io.WriteString(c, clientRequest("save", "00000000000000aa"))
 	<-started
-	<-started // of the retry
+	<-started // the retry's dial
 	h.node.mu.Lock()
-	for _, q := range h.node.requests {
-		q.attempts[0].startedAt = time.Now().Add(-q.dedupWindow)
+	for _, r := range h.node.requests {
+		r.attempts[0].startedAt = time.Now().Add(-r.dedupWindow)
 	}
 	h.node.mu.Unlock()
 	close(release)
-	if resp, _ := c.readResponse(); resp.StatusCode != http.StatusBadGateway { // the first may have run
-		t.Errorf("status %d", resp.StatusCode)
+	if resp, _ := c.readResponse(); resp.StatusCode != http.StatusBadGateway { // the first attempt may have run
+		t.Errorf("status %d, want %d", resp.StatusCode, http.StatusBadGateway)
 	}
 	if got := append(a.Requests(), b.Requests()...); len(got) != 1 {
-		t.Errorf("endpoints got %q", got)
+		t.Errorf("the endpoints received %q, want one request", got)
 	}
 }
 
-// TestEndpointUsedAgainAfterLostConnection guards endpoints against being taken for
-// unresponsive: one that broke a connection and then had nothing to do for long gets
-// requests again while the other is busy.
+// TestEndpointUsedAgainAfterLostConnection checks that an endpoint does not count as unresponsive
+// because it broke a connection and then received no request for a long time: it receives
+// requests again while the other endpoint is busy.
 func TestEndpointUsedAgainAfterLostConnection(t *testing.T) {
 	var broken atomic.Bool
 	release := make(chan struct{})
@@ -94,7 +93,7 @@
 	b := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	h := startNode(t, testConfig(t), a.Addr)
 	c := h.dial()
-	for i := range 40 { // the usual latency is learnt from these
+	for i := range 40 { // the policy learns the usual latency from these
 		c.roundTrip(clientRequest("merge", fmt.Sprintf("%016x", i+1)))
 	}
 	broken.Store(true)
@@ -110,12 +109,12 @@
 		busy[i] = h.dial()
 		io.WriteString(busy[i], clientRequest("merge", fmt.Sprintf("%016x", 1000+i)))
 	}
-	testsupport.Eventually(t, "a request for the endpoint that broke a connection", func() bool { return len(a.Requests()) > 41 })
+	testsupport.Eventually(t, "another request at the endpoint that broke a connection", func() bool { return len(a.Requests()) > 41 })
 }
 
-// TestThirdConcurrentRequestIsForwarded guards requests against being rejected for a queue that does
-// not exist: nothing is known yet of an endpoint's speed, and it gets a third request
-// beside two.
+// TestThirdConcurrentRequestIsForwarded checks that an endpoint whose latency is not known yet
+// receives a third request while two are in flight. The policy must not reject it on the
+// assumption that the endpoint has a queue.
 func TestThirdConcurrentRequestIsForwarded(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -127,7 +126,7 @@
 	}
 }
 
-// actualUnitsRecorder records the actual units of the attempts that end.
+// actualUnitsRecorder records the actual units of each attempt that ends.
 type actualUnitsRecorder struct {
 	policyGateway
 	units chan float64
@@ -141,8 +140,8 @@
 	return c.policyGateway.Step(now, ev, out)
 }
 
-// TestActualUnitsReachPolicy checks the settling of quotas: the actual units of a
-// response reach the policy, ones that can't be read or are not plausible do not.
+// TestActualUnitsReachPolicy checks that the policy is notified of the actual units in a
+// response, from which it settles quotas, but not of malformed or implausible ones.
 func TestActualUnitsReachPolicy(t *testing.T) {
 	for text, want := range map[string]float64{"3": 3, "2.5": 2.5, "-1": 0, "NaN": 0, "1e9": 0, "999999": 0, "": 0} {
 		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondWith("HTTP/1.1 200 OK\r\nApi-Charge: "+text+"\r\nContent-Length: 2\r\n\r\nok"))
@@ -154,10 +153,10 @@
 		h.node.gateway = recorder
 		h.node.mu.Unlock()
 		if resp, _ := h.dial().roundTrip(clientRequest("merge", "00000000000000aa")); resp.StatusCode != http.StatusOK {
-			t.Fatalf("status %d", resp.StatusCode)
+			t.Fatalf("Api-Charge %q: status %d, want %d", text, resp.StatusCode, http.StatusOK)
 		}
 		if got := <-recorder.units; got != want {
-			t.Errorf("Api-Charge %q: the policy was notified of %v, want %v", text, got, want)
+			t.Errorf("Api-Charge %q: the policy was notified of %v units, want %v", text, got, want)
 		}
 	}
 }
--- a/internal/edge/connreuse_test.go
+++ b/internal/edge/connreuse_test.go
@@ -21,19 +21,20 @@
 	"swiftpitch/internal/upstream"
 )
 
-// TestStaleConnectionIsNotReused guards non-idempotent requests against stale connections: one that
-// the endpoint has closed while idle is not written to, which would end as a reset.
+// TestStaleConnectionIsNotReused checks that no request is written to a connection that the
+// endpoint closed while it was idle. The write would end in a reset, after which a non-idempotent
+// request can't be retried.
 func TestStaleConnectionIsNotReused(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		testsupport.RespondOK(c, req, body)
-		return false // closes the connection without announcing it
+		return false // closes the connection without a Connection: close header
 	})
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	c := h.dial()
 	for i := range 5 {
 		resp, _ := c.roundTrip(clientRequest("merge", fmt.Sprintf("%016x", i)))
 		if resp.StatusCode != http.StatusOK {
-			t.Fatalf("request %d: status %d", i, resp.StatusCode)
+			t.Fatalf("request %d: status %d, want %d", i, resp.StatusCode, http.StatusOK)
 		}
 		testsupport.Eventually(t, "the close of the idle connection", func() bool {
 			h.node.mu.Lock()
@@ -44,8 +45,8 @@
 	}
 }
 
-// TestConnectionIsReused checks that connections to endpoints are kept alive and used again
-// rather than opened for each attempt.
+// TestConnectionIsReused checks that a second request is written to the same connection to the
+// endpoint as the first.
 func TestConnectionIsReused(t *testing.T) {
 	ports := make(chan string, 8)
 	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
@@ -58,18 +59,18 @@
 	time.Sleep(2 * upstream.ReuseDelay)
 	c.roundTrip(clientRequest("merge", "0000000000000002"))
 	if a, b := <-ports, <-ports; a != b {
-		t.Errorf("connections %s and %s", a, b)
+		t.Errorf("requests came on the connections %s and %s, want one connection", a, b)
 	}
 }
 
-// duplicateResponse is what an endpoint sends behind a good response. A client that gets it
-// would take it for the response to its own request.
+// duplicateResponse is a second response that an endpoint sends after a valid one. If the
+// connection were reused, it would be taken for the response to the next request.
 const duplicateResponse = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
 
-// TestLateDuplicateResponse guards against a response made for another request: what an
-// endpoint sends a little behind a good response comes before the connection is used
-// again. The clock is synctest's: by that of a loaded machine the duplicate, or the next
-// request, may come after the reuse delay, which promises nothing then.
+// TestLateDuplicateResponse checks that a client does not get a response to another request: a
+// duplicate that an endpoint sends shortly after its response arrives before the connection is
+// used again, and is detected. The test runs on synctest's clock, because on a loaded machine
+// the duplicate or the next request may come after the reuse delay, which then has no effect.
 func TestLateDuplicateResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := testConfig(t)
@@ -81,7 +82,7 @@
 		var seen atomic.Int64
 		var serving sync.WaitGroup
 		n.dial = func(context.Context, string, string) (net.Conn, error) {
-			here, there := net.Pipe() // synctest's clock does not wait for sockets
+			here, there := net.Pipe() // synctest's clock does not advance while a goroutine waits for a socket
 			serving.Go(func() { serveLateDuplicate(there, &seen) })
 			return here, nil
 		}
@@ -90,15 +91,15 @@
 		defer n.close()
 		for i := range 3 {
 			if status, body := serveText(t, n, clientRequest("merge", fmt.Sprintf("%016x", i))); status != http.StatusOK || body != "hello" {
-				t.Errorf("request %d: status %d, body %q", i, status, body)
+				t.Errorf("request %d: status %d, body %q, want %d, %q", i, status, body, http.StatusOK, "hello")
 			}
 		}
 	})
 }
 
-// serveLateDuplicate answers the requests on one connection to an endpoint in a synctest
-// bubble. The first that is seen on any connection is answered a second time, a third of
-// the reuse delay later.
+// serveLateDuplicate answers the requests on one connection of an endpoint in a synctest bubble.
+// It answers the first request on any connection a second time, a third of the reuse delay
+// later. seen counts the requests on all connections.
 func serveLateDuplicate(conn net.Conn, seen *atomic.Int64) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -111,13 +112,13 @@
 		io.WriteString(conn, testsupport.OKResponse)
 		if seen.Add(1) == 1 {
 			time.Sleep(upstream.ReuseDelay / 3)
-			go io.WriteString(conn, duplicateResponse) // blocks until the other side reads it or closes
-			synctest.Wait()                            // it is ahead of all further responses
+			go io.WriteString(conn, duplicateResponse) // blocks until the node reads it or closes the pipe
+			synctest.Wait()                            // the duplicate precedes all further responses
 		}
 	}
 }
 
-// serveText has a node serve the text of one request without a listener.
+// serveText calls a node's handler with one request, without a listener.
 func serveText(t *testing.T, n *Node, text string) (status int, body string) {
 	t.Helper()
 	req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
@@ -129,8 +130,8 @@
 	return recorder.Code, recorder.Body.String()
 }
 
-// TestDuplicateResponseWhileIdle guards against a response made for another request: a
-// connection on which a duplicate has arrived is not used again, however long it was idle.
+// TestDuplicateResponseWhileIdle checks that a connection on which a duplicate response has
+// arrived is not used again, even when it has been idle for longer than the reuse delay.
 func TestDuplicateResponseWhileIdle(t *testing.T) {
 	send := make(chan struct{})
 	var seen atomic.Int64
@@ -145,7 +146,7 @@
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	c := h.dial()
 	if resp, body := c.roundTrip(clientRequest("merge", "0000000000000000")); resp.StatusCode != http.StatusOK || body != "hello" {
-		t.Fatalf("request 0: status %d, body %q", resp.StatusCode, body)
+		t.Fatalf("request 0: status %d, body %q, want %d, %q", resp.StatusCode, body, http.StatusOK, "hello")
 	}
 	firstIdle := func(ok func(conn *upstream.Conn) bool) func() bool {
 		return func() bool {
@@ -155,13 +156,13 @@
 			return len(idle) == 1 && ok(idle[0])
 		}
 	}
-	testsupport.Eventually(t, "the idle connection", firstIdle((*upstream.Conn).IsQuiet))
+	testsupport.Eventually(t, "one quiet idle connection", firstIdle((*upstream.Conn).IsQuiet))
 	close(send)
-	testsupport.Eventually(t, "the duplicate", firstIdle(func(conn *upstream.Conn) bool { return !conn.IsQuiet() }))
-	time.Sleep(upstream.ReuseDelay) // the delay alone would now allow the connection
+	testsupport.Eventually(t, "the arrival of the duplicate", firstIdle(func(conn *upstream.Conn) bool { return !conn.IsQuiet() }))
+	time.Sleep(upstream.ReuseDelay) // the delay alone no longer prevents the reuse
 	for i := 1; i < 3; i++ {
 		if resp, body := c.roundTrip(clientRequest("merge", fmt.Sprintf("%016x", i))); resp.StatusCode != http.StatusOK || body != "hello" {
-			t.Errorf("request %d: status %d, body %q", i, resp.StatusCode, body)
+			t.Errorf("request %d: status %d, body %q, want %d, %q", i, resp.StatusCode, body, http.StatusOK, "hello")
 		}
 	}
 }
--- a/internal/edge/harness_test.go
+++ b/internal/edge/harness_test.go
@@ -31,7 +31,7 @@
  "report": {"via":"silent"},
  "tiersOfService": [{"name":"basic","refill":1000,"depth":1000,"worthFactor":1},{"name":"none","refill":0.001,"depth":0.001,"worthFactor":1}]}`
 
-// harness is an edge node on loopback sockets.
+// harness runs an edge node on loopback sockets.
 type harness struct {
 	t    *testing.T
 	node *Node
@@ -75,15 +75,15 @@
 		select {
 		case <-ended:
 		case <-time.After(testsupport.MaxWait):
-			t.Error("the node does not stop")
+			t.Errorf("the node has not stopped %v after the request to shut down", testsupport.MaxWait)
 		}
 	})
 	h.awaitReady(len(addrs) == 0)
 	return h
 }
 
-// awaitReady waits until the node answers that it is ready, or, where it need not be ready,
-// until it answers at all.
+// awaitReady waits until the node answers a readiness check with 200, or with any status if
+// anyStatus is set.
 func (h *harness) awaitReady(anyStatus bool) {
 	h.t.Helper()
 	testsupport.Eventually(h.t, "readiness", func() bool {
@@ -97,20 +97,20 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// openRequests returns the number of requests that the node holds.
+// openRequests returns the number of the node's open requests.
 func (h *harness) openRequests() int {
 	h.node.mu.Lock()
 	defer h.node.mu.Unlock()
 	return len(h.node.requests)
 }
 
-// expectAborted has the node serve a request of the class lookup, received on the connection of
-// ctx, and checks that the handler aborts it.
+// expectAborted calls the node's handler with a request of the class lookup from the connection
+// in ctx, and checks that the handler panics with [http.ErrAbortHandler].
 func (h *harness) expectAborted(ctx context.Context) {
 	h.t.Helper()
 	defer func() {
 		if p := recover(); p != http.ErrAbortHandler {
-			h.t.Errorf("the handler ends with %v", p)
+			h.t.Errorf("the handler panics with %v, want %v", p, http.ErrAbortHandler)
 		}
 	}()
 	req := httptest.NewRequest(http.MethodGet, "/lookup/x", nil).WithContext(ctx)
@@ -120,7 +120,7 @@
 	h.node.ServeHTTP(httptest.NewRecorder(), req)
 }
 
-// connect opens a client's connection to a listener and accepts it there.
+// connect opens a connection to a listener, accepts it and returns both ends.
 func connect(t *testing.T, listener net.Listener) (client, accepted net.Conn) {
 	t.Helper()
 	client = testsupport.Dial(t, listener.Addr().String())
@@ -132,7 +132,8 @@
 	return client, accepted
 }
 
-// clientRequest is a well-formed request; edits replace parts of its text.
+// clientRequest returns the text of a valid request. edits are pairs of a part of the text and
+// its replacement.
 func clientRequest(class, id string, edits ...string) string {
 	method, key, body := "GET", "", ""
 	switch class {
@@ -151,7 +152,7 @@
 	return strings.NewReplacer(edits...).Replace(text)
 }
 
-// client is one keep-alive connection of a client.
+// client is a client with one keep-alive connection to the node.
 type client struct {
 	t *testing.T
 	net.Conn
@@ -165,7 +166,7 @@
 	return &client{t: h.t, Conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// roundTrip sends the text of a request as it stands and reads one response.
+// roundTrip sends the text of a request unchanged and reads one response.
 func (c *client) roundTrip(text string) (*http.Response, string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
