--- a/internal/edge/counter_test.go
+++ b/internal/edge/counter_test.go
@@ -14,12 +14,13 @@
 	"swiftpitch/internal/testsupport"
 )
 
-// counterRecorder stands in for the policy and records the outcomes of counter calls, in
-// order.
+// counterRecorder replaces the policy and records the outcomes of counter calls in the order in
+// which the node reports them.
 type counterRecorder struct {
 	replies chan policy.CounterReplied
 }
 
+// Step implements policyGateway.
 func (r *counterRecorder) Step(_ policy.Time, ev policy.Event, out []policy.Action) []policy.Action {
 	if reply, ok := ev.(policy.CounterReplied); ok {
 		r.replies <- reply
@@ -27,7 +28,7 @@
 	return out
 }
 
-// startCounterNode returns a node that calls a counter at an address.
+// startCounterNode starts a node that calls the counter at an address with a counter timeout.
 func startCounterNode(t *testing.T, address string, timeout time.Duration) *Node {
 	t.Helper()
 	cfg := testConfig(t)
@@ -42,7 +43,7 @@
 	return n
 }
 
-// recordCounter puts a recorder in the place of the policy.
+// recordCounter replaces the node's policy by a recorder.
 func recordCounter(n *Node) *counterRecorder {
 	recorder := &counterRecorder{replies: make(chan policy.CounterReplied, 64)}
 	n.mu.Lock()
@@ -51,20 +52,21 @@
 	return recorder
 }
 
-// next returns the next outcome of a call.
+// next waits for the next outcome of a call and returns it.
 func (r *counterRecorder) next(t *testing.T) policy.CounterReplied {
 	t.Helper()
 	return testsupport.Receive(t, "the outcome of a call", r.replies)
 }
 
-// testAdd makes a call as the policy would.
+// testAdd calls the counter as the policy's AddToCounter action does.
 func (n *Node) testAdd(key uint64, units float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.addToCounter(policy.AddToCounter{Key: key, Units: units, TTL: 1500 * time.Microsecond})
 }
 
-// Guards the form of a call and the order of pipelined responses.
+// TestCounterCallsArePipelined checks the request line of a call, and that the responses to
+// pipelined calls are assigned to their calls.
 func TestCounterCallsArePipelined(t *testing.T) {
 	uris := make(chan string, 8)
 	total := 0
@@ -85,16 +87,16 @@
 	n.testAdd(6, 1)
 	for i, want := range []policy.CounterReplied{{Key: 1<<63 - 1, Total: 1}, {Key: 6, Total: 2}, {Key: 6, Outcome: policy.Overloaded}} {
 		if got := replies.next(t); got != want {
-			t.Errorf("call %d: %+v", i, got)
+			t.Errorf("call %d: outcome %+v, want %+v", i, got, want)
 		}
 	}
 	if got := <-uris; got != "POST /v2/numbers/9223372036854775807?delta=-2.5&life_ms=2" {
-		t.Errorf("call %q", got)
+		t.Errorf("call %q, want POST /v2/numbers/9223372036854775807?delta=-2.5&life_ms=2", got)
 	}
 }
 
-// Guards the totals: a response that comes after its call's timeout is dropped, and is not
-// taken for the response to the next call.
+// TestCounterLateResponseIsDropped checks that a response that arrives after its call's timeout
+// is dropped and not taken for the response to the next call.
 func TestCounterLateResponseIsDropped(t *testing.T) {
 	release := make(chan struct{})
 	calls := 0
@@ -110,18 +112,18 @@
 	n.testAdd(1, 1)
 	testsupport.Eventually(t, "the first call", func() bool { return len(counter.Requests()) == 1 })
 	if got := replies.next(t); got.Outcome != policy.TimedOut {
-		t.Errorf("first call: %+v", got)
+		t.Errorf("first call: outcome %+v, want %d", got, policy.TimedOut)
 	}
 	n.cfg.Settings.Service.CounterTimeout = testsupport.MaxWait
 	n.testAdd(1, 1)
 	close(release)
 	if got := replies.next(t); got.Outcome != policy.Succeeded || got.Total != 222 {
-		t.Errorf("second call: %+v", got)
+		t.Errorf("second call: outcome %+v, want %d and total 222", got, policy.Succeeded)
 	}
 }
 
-// Guards the totals of an overloaded counter: a response that takes longer than the
-// settings' counter timeout, but not several of them, still counts.
+// TestCounterSlowResponseCounts checks that a response of an overloaded counter that takes longer
+// than the configured counter timeout, but less than counterTimeoutFactor times that, is used.
 func TestCounterSlowResponseCounts(t *testing.T) {
 	const timeout = 250 * time.Millisecond
 	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
@@ -132,12 +134,13 @@
 	replies := recordCounter(n)
 	n.testAdd(1, 1)
 	if got := replies.next(t); got != (policy.CounterReplied{Key: 1, Total: 7}) {
-		t.Errorf("%+v", got)
+		t.Errorf("outcome %+v, want total 7", got)
 	}
 }
 
-// Guards what the policy knows of the counter: without a connection nothing was added, and
-// a connection that breaks after the call may have added it.
+// TestCounterConnectionFails checks the outcomes from which the policy infers what was added: if
+// no connection could be made, nothing was; if it broke after the call was written, the units
+// may have been added.
 func TestCounterConnectionFails(t *testing.T) {
 	ln := testsupport.Listen(t)
 	addr := ln.Addr().String()
@@ -146,19 +149,20 @@
 	replies := recordCounter(n)
 	n.testAdd(1, 1)
 	if got := replies.next(t); got.Outcome != policy.ConnectFailed {
-		t.Errorf("refused: %+v", got)
+		t.Errorf("connection refused: outcome %+v, want %d", got, policy.ConnectFailed)
 	}
 	counter := testsupport.StartFakeEndpoint(t, func(net.Conn, *http.Request, []byte) bool { return false })
 	n = startCounterNode(t, counter.Addr, testsupport.MaxWait)
 	replies = recordCounter(n)
 	n.testAdd(1, 1)
 	if got := replies.next(t); got.Outcome != policy.TimedOut {
-		t.Errorf("broken: %+v", got)
+		t.Errorf("connection broken: outcome %+v, want %d", got, policy.TimedOut)
 	}
 }
 
-// Guards the calls after a counter's machine has vanished: a connection that owes responses
-// for long is closed, and the next calls go over a new one.
+// TestUnresponsiveCounterIsRedialed checks that a connection whose responses stay away for too
+// long, as after a failure of the counter's machine, is closed, and that the next calls use a
+// new one.
 func TestUnresponsiveCounterIsRedialed(t *testing.T) {
 	ln := testsupport.Listen(t)
 	first := true
@@ -171,7 +175,7 @@
 			defer c.Close()
 			if first {
 				first = false
-				continue // silent for good
+				continue // never responds on this connection
 			}
 			go func() {
 				br := bufio.NewReader(c)
@@ -192,13 +196,14 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("no call has gone through")
+			t.Fatalf("no call has succeeded within %v", testsupport.MaxWait)
 		}
 	}
 }
 
-// Guards a new address of the counter: new calls go there, while the previous connection
-// still delivers the responses that it owes, and is closed after the last of them.
+// TestCounterChangesAddress checks that new calls go to a new address of the counter, while the
+// previous connection still delivers the responses to earlier calls and is closed after the last
+// of them.
 func TestCounterChangesAddress(t *testing.T) {
 	release, closed := make(chan struct{}), make(chan struct{})
 	previous := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
@@ -216,18 +221,18 @@
 	n.ChangeAddresses("", replacement.Addr)
 	n.testAdd(2, 1)
 	if got, want := replies.next(t), (policy.CounterReplied{Key: 2, Total: 222}); got != want {
-		t.Errorf("call to the new address: %+v", got)
+		t.Errorf("call to the new address: outcome %+v, want %+v", got, want)
 	}
 	close(release)
 	if got, want := replies.next(t), (policy.CounterReplied{Key: 1, Total: 111}); got != want {
-		t.Errorf("response of the previous address: %+v", got)
+		t.Errorf("call to the previous address: outcome %+v, want %+v", got, want)
 	}
 	testsupport.Receive(t, "the close of the previous connection", closed)
 }
 
-// Guards the totals against responses that are no number: such a call may have been added,
-// its connection is closed, and the next calls go over a new one. An interim response
-// belongs to no call.
+// TestCounterInvalidTotal checks responses whose body is not a number: the units of that call may
+// have been added, its connection is closed, and the next calls use a new one. It also checks
+// that an interim response is not taken for the response to a call.
 func TestCounterInvalidTotal(t *testing.T) {
 	for _, body := range []string{"NaN", "Inf", "0x10", "1e400", "", "7 7"} {
 		calls, release := 0, make(chan struct{})
@@ -246,11 +251,11 @@
 		testsupport.Eventually(t, "the first call", func() bool { return len(counter.Requests()) == 1 })
 		close(release)
 		if got := replies.next(t); got.Key != 1 || got.Outcome != policy.TimedOut {
-			t.Errorf("%q: %+v", body, got)
+			t.Errorf("total %q: outcome %+v, want %d for key 1", body, got, policy.TimedOut)
 		}
 		n.testAdd(2, 1)
 		if got := replies.next(t); got != (policy.CounterReplied{Key: 2, Total: 7}) {
-			t.Errorf("%q: the next call %+v", body, got)
+			t.Errorf("total %q: the next call has outcome %+v, want total 7 for key 2", body, got)
 		}
 	}
 }
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -13,71 +13,73 @@
 	"swiftpitch/internal/testsupport"
 )
 
-// Guards the limit on client connections: clients that keep idle connections do not keep
-// others out; the connection that has been idle for longest is evicted.
+// TestClientLimit checks that idle connections at the limit on client connections do not keep out
+// new ones: the connection that has been idle for longest is evicted.
 func TestClientLimit(t *testing.T) {
 	cfg := testConfig(t)
-	cfg.MaxDescriptors = 22 // 6 more than are reserved, half of them for clients
+	cfg.MaxDescriptors = 22 // 6 more than reservedDescriptors, half of them for clients
 	h := startNode(t, cfg, testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
 	if limit := h.node.clients.Stats().MaxConns; limit != 3 {
-		t.Fatalf("the limit is %d connections, want 3", limit)
+		t.Fatalf("the limit is %d client connections, want 3", limit)
 	}
-	testsupport.Eventually(t, "the end of the connections before", func() bool { return h.node.clients.Stats().Open == 0 })
+	testsupport.Eventually(t, "the close of earlier connections", func() bool { return h.node.clients.Stats().Open == 0 })
 	var all []*client
 	for i := range 4 {
 		c := h.dial()
 		all = append(all, c)
 		if resp, _ := c.roundTrip(clientRequest("lookup", fmt.Sprintf("%016x", i))); resp.StatusCode != http.StatusOK {
-			t.Fatalf("connection %d: status %d", i, resp.StatusCode)
+			t.Fatalf("connection %d: status %d, want %d", i, resp.StatusCode, http.StatusOK)
 		}
-		// The tracker learns only after the client has its answer that the connection is
-		// idle. The next connection waits for that, so that they become idle in order.
+		// The tracker notices that the connection is idle only after the client has its answer.
+		// The next connection waits for that, so that they become idle in order.
 		testsupport.Eventually(t, fmt.Sprintf("connection %d idle", i), func() bool { return h.node.clients.Stats().Idle == min(i+1, 3) })
 	}
 	all[0].SetReadDeadline(time.Now().Add(testsupport.MaxWait / 4))
 	if _, err := all[0].reader.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection idle for longest is still open: %v", err)
+		t.Errorf("connection 0, idle for longest: read error %v, want the end of the connection", err)
 	}
 	for i, c := range all[1:] {
 		c.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
 		if _, err := c.reader.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("another connection, %d: %v", i+1, err)
+			t.Errorf("connection %d: read error %v, want %v, as it is still open", i+1, err, os.ErrDeadlineExceeded)
 		}
 	}
 }
 
-// Guards the order of eviction on a whole node: half a request proves nothing of its
-// connection, a served request does.
+// TestOnlyServedRequestProvesConnection checks that a connection counts as proven, which makes its
+// eviction less likely, after a served request but not after half of one.
 func TestOnlyServedRequestProvesConnection(t *testing.T) {
 	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
-	testsupport.Eventually(t, "the end of the connections before", func() bool { return h.node.clients.Stats().Open == 0 })
+	testsupport.Eventually(t, "the close of earlier connections", func() bool { return h.node.clients.Stats().Open == 0 })
 	c := h.dial()
 	text := clientRequest("lookup", "00000000000000aa")
 	io.WriteString(c, text[:len(text)/2])
 	testsupport.Eventually(t, "the connection", func() bool { return h.node.clients.Stats().Open == 1 })
 	if proven := h.node.clients.Stats().Proven; proven != 0 {
-		t.Errorf("%d connections are proven by half a request", proven)
+		t.Errorf("%d connections are proven after half a request, want 0", proven)
 	}
 	if resp, _ := c.roundTrip(text[len(text)/2:]); resp.StatusCode != http.StatusOK {
-		t.Fatalf("status %d", resp.StatusCode)
+		t.Fatalf("status %d, want %d", resp.StatusCode, http.StatusOK)
 	}
 	if proven := h.node.clients.Stats().Proven; proven != 1 {
-		t.Errorf("%d connections are proven by a served request, want 1", proven)
+		t.Errorf("%d connections are proven after a served request, want 1", proven)
 	}
 }
 
-// Guards the descriptors that connections to neither clients nor endpoints may take, also where there are few.
+// TestReservedDescriptors checks that the limits on connections to clients and endpoints leave
+// reservedDescriptors free, also if the process may have few descriptors.
 func TestReservedDescriptors(t *testing.T) {
-	for _, sockets := range []int{24, 40, 64, 99, 256, 1024} {
+	for _, descriptors := range []int{24, 40, 64, 99, 256, 1024} {
 		cfg := testConfig(t)
-		cfg.MaxDescriptors = sockets
+		cfg.MaxDescriptors = descriptors
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		clients := n.clients.Stats().MaxConns
-		if clients < 1 || n.pool.MaxConns() < 1 || clients+n.pool.MaxConns()+reservedDescriptors > sockets {
-			t.Errorf("of %d descriptors %d are for clients and %d for endpoints", sockets, clients, n.pool.MaxConns())
+		if clients < 1 || n.pool.MaxConns() < 1 || clients+n.pool.MaxConns()+reservedDescriptors > descriptors {
+			t.Errorf("%d descriptors: %d for clients and %d for endpoints, want at least 1 each and %d left",
+				descriptors, clients, n.pool.MaxConns(), reservedDescriptors)
 		}
 	}
 }
