--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -17,14 +17,14 @@
 	"swiftpitch/internal/upstream"
 )
 
-// awaitAllAnswered waits until the node has noticed that the clients of all requests have disconnected.
+// awaitAllAnswered waits until no open request awaits an answer, as after its client disconnected.
 func awaitAllAnswered(h *harness) {
 	h.t.Helper()
-	testsupport.Eventually(h.t, "the end of the request", func() bool {
+	testsupport.Eventually(h.t, "all requests answered or ended by a disconnect", func() bool {
 		h.node.mu.Lock()
 		defer h.node.mu.Unlock()
-		for _, q := range h.node.requests {
-			if !q.answered {
+		for _, r := range h.node.requests {
+			if !r.answered {
 				return false
 			}
 		}
@@ -32,14 +32,15 @@
 	})
 }
 
-// awaitRequest waits until the node has received a request.
+// awaitRequest waits until the node has one open request.
 func awaitRequest(h *harness) {
 	h.t.Helper()
-	testsupport.Eventually(h.t, "the request", func() bool { return h.openRequests() == 1 })
+	testsupport.Eventually(h.t, "one open request", func() bool { return h.openRequests() == 1 })
 }
 
-// Guards endpoints against work that nobody waits for: the connection for a request comes
-// up just after its client has disconnected, and nothing is written to it.
+// TestClientDisconnectsDuringDial checks that nothing is written to an endpoint if the client
+// disconnects while the attempt's connection is dialed, as nobody would read the response, and
+// that the connection serves the next request.
 func TestClientDisconnectsDuringDial(t *testing.T) {
 	for _, class := range []string{"lookup", "merge"} {
 		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
@@ -55,19 +56,19 @@
 			h.node.mu.Lock()
 			defer h.node.mu.Unlock()
 			endpoint := h.node.pool.Endpoint("s-0")
-			return len(endpoint.IdleConns()) == 1 // unused, and good for the next request
+			return len(endpoint.IdleConns()) == 1 // nothing was written: the next request can use it
 		})
 		if resp, _ := h.dial().roundTrip(clientRequest(class, "00000000000000bb")); resp.StatusCode != http.StatusOK {
-			t.Errorf("%s: the next request: status %d", class, resp.StatusCode)
+			t.Errorf("%s: the next request: status %d, want %d", class, resp.StatusCode, http.StatusOK)
 		}
 		if got := endpoint.Requests(); len(got) != 1 || got[0][len(got[0])-2:] != "bb" {
-			t.Errorf("%s: endpoint got %q", class, got)
+			t.Errorf("%s: the endpoint received %q, want the request ...bb only", class, got)
 		}
 	}
 }
 
-// Guards endpoints against work that nobody waits for: the counter's response admits a
-// request that waited for it, and its client has disconnected.
+// TestClientDisconnectsDuringCounterCall checks that a request is not forwarded if its client
+// disconnects before the counter's response admits it, and that its units are returned.
 func TestClientDisconnectsDuringCounterCall(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 	calls, answer := make(chan string, 8), make(chan struct{})
@@ -79,21 +80,21 @@
 	})
 	cfg := testConfig(t)
 	cfg.CounterAddress, cfg.Settings.Service.CounterEnabled = counter.Addr, true
-	cfg.Settings.Service.CounterTimeout = testsupport.MaxWait // less than half of the request's time, or it would not wait
+	cfg.Settings.Service.CounterTimeout = testsupport.MaxWait // with more than half of its timeout a request would not wait
 	cfg.Settings.Classes[0].Deadline = 3 * testsupport.MaxWait
 	plan := &cfg.Settings.Plans[0]
-	plan.Rate, plan.Burst, plan.OverQuotaCost = 2, 4, 1 // so little that requests are admitted by the shared bucket
+	plan.Rate, plan.Burst, plan.OverQuotaCost = 2, 4, 1 // little enough that the shared bucket admits requests
 	h := startNode(t, cfg, endpoint.Addr)
 	c := h.dial()
 	io.WriteString(c, clientRequest("lookup", "00000000000000aa", "3000", "60000"))
 	if delta := <-calls; delta != "2" {
-		t.Fatalf("the counter call adds %s", delta)
+		t.Fatalf("the counter call adds %s units, want 2", delta)
 	}
 	awaitRequest(h)
 	c.Close()
 	awaitAllAnswered(h)
 	close(answer)
-	testsupport.Eventually(t, "the return of the units", func() bool { // the policy has dealt with the response by then
+	testsupport.Eventually(t, "the return of the units", func() bool { // by then the policy has handled the response
 		select {
 		case delta := <-calls:
 			return delta == "-2"
@@ -102,16 +103,16 @@
 		}
 	})
 	if got := endpoint.Requests(); len(got) > 0 {
-		t.Errorf("endpoint got %q", got)
+		t.Errorf("the endpoint received %q, want no request", got)
 	}
 }
 
 // neverRanResponse is the response of an endpoint that did not run a request.
 const neverRanResponse = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 
-// startNodeWithoutCancel runs a node that may not cancel attempts: one stays in flight when its
-// client disconnects. Its two endpoints respond, once release is closed, that they did not run a
-// request; requests returns those that either of them got.
+// startNodeWithoutCancel runs a node that may not cancel attempts, so that an attempt stays in
+// flight when its client disconnects. After release is closed, its two endpoints respond that
+// they did not run the request. requests returns the requests that they received.
 func startNodeWithoutCancel(t *testing.T, release <-chan struct{}) (h *harness, requests func() []string) {
 	t.Helper()
 	respond := testsupport.RespondAfter(release, testsupport.RespondWith(neverRanResponse))
@@ -122,8 +123,8 @@
 	return h, func() []string { return append(a.Requests(), b.Requests()...) }
 }
 
-// Guards endpoints against work that nobody waits for: an attempt ends in a way that calls
-// for a retry, and its client has disconnected.
+// TestClientDisconnectsBeforeRetry checks that an attempt is not retried if its client has
+// disconnected by the time it ends, also if the endpoint did not run it.
 func TestClientDisconnectsBeforeRetry(t *testing.T) {
 	release := make(chan struct{})
 	h, requests := startNodeWithoutCancel(t, release)
@@ -138,20 +139,21 @@
 	awaitAllAnswered(h)
 	close(release)
 	if outcome := <-outcomes; outcome != policy.Overloaded {
-		t.Errorf("the attempt ends as %d", outcome)
+		t.Errorf("the attempt ends with outcome %d, want %d", outcome, policy.Overloaded)
 	}
 	if got := requests(); len(got) != 1 {
-		t.Errorf("endpoints got %q", got)
+		t.Errorf("the endpoints received %q, want one request", got)
 	}
 }
 
-// outcomeRecorder reports the outcomes of attempts once the policy has dealt with them, and
-// -1 for each attempt that it starts then.
+// outcomeRecorder sends to outcomes the outcome of each attempt that the policy has handled.
+// Before it, it sends -1 for each attempt that the policy starts in response.
 type outcomeRecorder struct {
 	policyGateway
 	outcomes chan policy.Outcome
 }
 
+// Step implements policyGateway.
 func (r outcomeRecorder) Step(now policy.Time, event policy.Event, out []policy.Action) []policy.Action {
 	out = r.policyGateway.Step(now, event, out)
 	if ended, ok := event.(policy.AttemptEnded); ok {
@@ -165,8 +167,9 @@
 	return out
 }
 
-// Guards endpoints against work that nobody waits for: the client has sent more than its
-// request, at which the library's own watch stops, and then disconnects.
+// TestClientDisconnectsAfterPipelinedBytes checks that a disconnect is detected, and the attempt
+// not retried, if the client has sent more bytes after its request. net/http stops watching a
+// connection for a disconnect when it receives such bytes.
 func TestClientDisconnectsAfterPipelinedBytes(t *testing.T) {
 	next := clientRequest("lookup", "00000000000000cc")
 	ends := map[string]func(*net.TCPConn){
@@ -187,21 +190,21 @@
 				io.WriteString(c, clientRequest("lookup", "00000000000000aa"))
 				testsupport.Eventually(t, "the attempt", func() bool { return len(requests()) == 1 })
 				io.WriteString(c, text)
-				awaitReadAhead(h, len(text)-1) // the first byte is with the library
+				awaitReadAhead(h, len(text)-1) // net/http has read the first byte
 				end(c.Conn.(*net.TCPConn))
 				awaitAllAnswered(h)
 				close(release)
 				testsupport.Eventually(t, "the end of the attempt", func() bool { return h.openRequests() == 0 })
 				if got := requests(); len(got) != 1 {
-					t.Errorf("endpoints got %q", got)
+					t.Errorf("the endpoints received %q, want one request", got)
 				}
 			})
 		}
 	}
 }
 
-// awaitReusableConn waits until an endpoint has one idle connection, which may take the
-// next request.
+// awaitReusableConn checks that an endpoint has the only open connection and that it is idle, and
+// waits until the next request may use it.
 func (h *harness) awaitReusableConn(endpointID string) *upstream.Endpoint {
 	h.t.Helper()
 	h.node.mu.Lock()
@@ -209,7 +212,7 @@
 	idle := endpoint.IdleConns()
 	if open := h.node.pool.OpenConns(); len(idle) != 1 || open != 1 {
 		h.node.mu.Unlock()
-		h.t.Fatalf("%d idle connections of %d open ones, want one", len(idle), open)
+		h.t.Fatalf("%d open connections, of them %d idle, want one, idle", open, len(idle))
 	}
 	idleSince := idle[0].IdleSince()
 	h.node.mu.Unlock()
@@ -217,18 +220,18 @@
 	return endpoint
 }
 
-// beginRequest hands the policy a request without a listener. The lock is held.
+// beginRequest passes a request to the policy without a listener. The caller holds h.node.mu.
 func (h *harness) beginRequest(id string, conn *frontend.Conn) *request {
-	q := &request{id: id, conn: conn, receivedAt: time.Now().Add(-time.Second), deadline: time.Now().Add(testsupport.MaxWait),
+	r := &request{id: id, conn: conn, receivedAt: time.Now().Add(-time.Second), deadline: time.Now().Add(testsupport.MaxWait),
 		answer: make(chan answer, 1), forwardHead: []byte("GET /lookup/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\nX-Expires-In-Ms: ")}
-	q.deadlineGuard = h.node.afterFunc(testsupport.MaxWait, func() {})
-	h.node.requests[id] = q
+	r.deadlineGuard = h.node.afterFunc(testsupport.MaxWait, func() {})
+	h.node.requests[id] = r
 	h.node.dispatch(policy.RequestReceived{RequestID: id, Tenant: 1, Timeout: testsupport.MaxWait, Units: 1, TenantGateways: 1})
-	return q
+	return r
 }
 
-// Guards endpoints against work that nobody waits for: the policy has started an attempt, on
-// an idle connection, and before it is written the client is seen to have disconnected.
+// TestClientDisconnectsBeforeAttemptIsWritten checks that an attempt on an idle connection is not
+// written if the client's disconnect is detected after the policy has started the attempt.
 func TestClientDisconnectsBeforeAttemptIsWritten(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
@@ -238,11 +241,11 @@
 		h.dial().roundTrip(clientRequest("lookup", "00000000000000aa"))
 		upstreamEndpoint := h.awaitReusableConn("s-0")
 		h.node.mu.Lock()
-		q := h.beginRequest("00000000000000bb", nil)
-		if q.attemptsInFlight != 1 || len(upstreamEndpoint.IdleConns()) != 0 {
-			t.Fatalf("%d attempts in flight, %d idle connections", q.attemptsInFlight, len(upstreamEndpoint.IdleConns()))
+		r := h.beginRequest("00000000000000bb", nil)
+		if r.attemptsInFlight != 1 || len(upstreamEndpoint.IdleConns()) != 0 {
+			t.Fatalf("%d attempts in flight, %d idle connections, want 1 and 0", r.attemptsInFlight, len(upstreamEndpoint.IdleConns()))
 		}
-		h.node.clientDisconnectedLocked(q)
+		h.node.clientDisconnectedLocked(r)
 		h.node.mu.Unlock()
 		testsupport.Eventually(t, "the end of the attempt", func() bool {
 			h.node.mu.Lock()
@@ -250,13 +253,13 @@
 			return len(h.node.requests) == 0 && (cancel && h.node.pool.OpenConns() == 0 || !cancel && len(upstreamEndpoint.IdleConns()) == 1)
 		})
 		if got := endpoint.Requests(); len(got) != 1 {
-			t.Errorf("cancelling %v: endpoint got %q", cancel, got)
+			t.Errorf("cancel allowed %v: the endpoint received %q, want the first request only", cancel, got)
 		}
 	}
 }
 
-// disconnectedClient returns a connection whose client has closed it, which nobody has read
-// yet, and the context of its requests.
+// disconnectedClient returns a connection that its client has closed, before any goroutine has
+// read that, and the context of its requests.
 func (h *harness) disconnectedClient() (context.Context, *frontend.Conn) {
 	h.t.Helper()
 	tracker := frontend.NewTracker(1, frontend.NewMemoryBudget(0))
@@ -264,16 +267,17 @@
 	ctx := tracker.ConnContext(context.Background(), accepted)
 	conn := frontend.ConnFromContext(ctx)
 	if got := socket.Peek(conn.Conn); got != socket.Quiet {
-		h.t.Errorf("before the client disconnects: %d", got)
+		h.t.Errorf("before the client disconnects, the state of its connection is %d, want %d", got, socket.Quiet)
 	}
 	client.Close()
-	testsupport.Eventually(h.t, "the client's end", func() bool { return socket.Peek(conn.Conn) == socket.Closed })
+	testsupport.Eventually(h.t, "the client's disconnect", func() bool { return socket.Peek(conn.Conn) == socket.Closed })
 	return ctx, conn
 }
 
-// Guards endpoints against work that nobody waits for where this process was stalled: the
-// client has closed its connection, and who reads that has not got round to it when the
-// attempt of a request that has waited would be written, or when the request is received.
+// TestUnreadDisconnect checks that a request is not forwarded if its client has closed the
+// connection, although the goroutine that reads the connection has not noticed it, as in a
+// process that was stalled. It covers a disconnect before the attempt of a request that has
+// waited is written, and one before the request is received.
 func TestUnreadDisconnect(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
@@ -285,11 +289,12 @@
 	ctx, _ := h.disconnectedClient()
 	h.expectAborted(ctx)
 	if got := endpoint.Requests(); len(got) > 0 {
-		t.Errorf("endpoint got %q", got)
+		t.Errorf("the endpoint received %q, want no request", got)
 	}
 }
 
-// Guards endpoints against half a request: the client disconnects while it sends the body.
+// TestClientDisconnectsDuringBody checks that a request is not forwarded if its client disconnects
+// while it sends the body.
 func TestClientDisconnectsDuringBody(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
@@ -297,14 +302,14 @@
 	text := clientRequest("merge", "00000000000000aa")
 	io.WriteString(c, text[:len(text)-5])
 	c.Conn.(*net.TCPConn).CloseWrite()
-	io.ReadAll(c.reader) // until the node has closed it
+	io.ReadAll(c.reader) // until the node closes the connection
 	if got := endpoint.Requests(); len(got) > 0 {
-		t.Errorf("endpoint got %q", got)
+		t.Errorf("the endpoint received %q, want no request", got)
 	}
 }
 
-// Guards endpoints against work that nobody waits for: when the client disconnects, the
-// attempt is canceled by closing its connection.
+// TestClientDisconnectCancelsAttempt checks that the attempt's connection is closed when the client
+// disconnects, so that the endpoint can stop its work.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	closed := make(chan struct{})
 	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
@@ -323,8 +328,8 @@
 	testsupport.Eventually(t, "the end of the request", func() bool { return h.openRequests() == 0 })
 }
 
-// Guards against a response that no endpoint gave: a client that half-closes its connection counts as
-// disconnected, and reads the end of the connection and nothing else.
+// TestHalfCloseCountsAsDisconnect checks that a client that half-closes its connection counts as
+// disconnected: the node closes the connection without a response.
 func TestHalfCloseCountsAsDisconnect(t *testing.T) {
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
@@ -338,6 +343,6 @@
 	testsupport.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
 	c.Conn.(*net.TCPConn).CloseWrite()
 	if text, err := io.ReadAll(c.reader); err != nil || len(text) > 0 {
-		t.Errorf("read %q, %v", text, err)
+		t.Errorf("the client read %q and error %v, want the end of the connection only", text, err)
 	}
 }
--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -17,19 +17,19 @@
 	"swiftpitch/internal/testsupport"
 )
 
-// respondList sends a list of discovery and keeps the connection open.
+// respondList writes a response with a list of endpoints and keeps the connection open.
 func respondList(conn net.Conn, list string) bool {
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	return true
 }
 
-// respondUnavailable sends a status of 503 and keeps the connection open.
+// respondUnavailable writes a response with status 503 and keeps the connection open.
 func respondUnavailable(conn net.Conn) bool {
 	fmt.Fprint(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
 
-// oneServingInstance is the list of one endpoint that serves.
+// oneServingInstance returns a list with one serving endpoint, s-0.
 func oneServingInstance() []discovery.Instance {
 	return []discovery.Instance{{ID: "s-0", HostPort: "127.0.0.1:9", Lifecycle: discovery.Serving}}
 }
@@ -47,7 +47,7 @@
 	return cfg
 }
 
-// newUnstartedNode returns a node that is not started.
+// newUnstartedNode returns a node on which start has not been called.
 func newUnstartedNode(t *testing.T, cfg Config) *Node {
 	t.Helper()
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
@@ -57,9 +57,10 @@
 	return n
 }
 
-// Guards the list of endpoints: the full list first, then watches from its version, changes
-// applied, entries missing from a full list gone, and a connection that breaks does not lose
-// what is known.
+// TestEndpointListFollowsDiscovery checks the calls to discovery and their effect: the first one
+// asks for the full list, further ones for what changed since the last version. Updates are
+// applied, endpoints missing from a full list are removed, and a broken connection loses no
+// endpoint.
 func TestEndpointListFollowsDiscovery(t *testing.T) {
 	entry := func(id, state string) string {
 		return fmt.Sprintf(`{"instanceId":%q,"hostPort":"127.0.0.%d:9","zone":"b","lifecycle":%q,"weight":1,"startedAtMs":0}`,
@@ -78,13 +79,13 @@
 	h := startNode(t, cfg)
 	expectServing := func(want string) {
 		t.Helper()
-		testsupport.Eventually(t, "the list "+want, func() bool { return h.node.servingAmong("a", "b", "c") == want })
+		testsupport.Eventually(t, "the serving endpoints "+want, func() bool { return h.node.servingAmong("a", "b", "c") == want })
 	}
 	lists <- `{"generation":41,"reset":true,"instances":[` + entry("a", "SERVING") + "," + entry("b", "SERVING") + `]}`
 	expectServing("ab")
 	lists <- `{"generation":42,"reset":false,"instances":[` + entry("b", "DRAINING") + "," + entry("c", "SERVING") + `]}`
 	expectServing("ac")
-	lists <- "" // the connection breaks, and the call is repeated
+	lists <- "" // the connection breaks, and the node repeats the call
 	lists <- `{"generation":43,"reset":true,"instances":[` + entry("c", "SERVING") + `]}`
 	expectServing("c")
 	var got []string
@@ -93,11 +94,11 @@
 	}
 	if got[0] != "/api/targets" || !strings.Contains(got[1], "index=41&wait=") ||
 		!strings.Contains(got[2], "index=42&") || !strings.Contains(got[3], "index=42&") {
-		t.Errorf("calls %q", got)
+		t.Errorf("calls %q, want /api/targets and then index 41, 42 and 42 with a wait", got)
 	}
 }
 
-// servingAmong joins those of the given endpoints that serve.
+// servingAmong returns the IDs of those given endpoints that are serving, joined.
 func (n *Node) servingAmong(ids ...string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -110,8 +111,8 @@
 	return serving
 }
 
-// Guards a new address of discovery: a watch that would hang at the previous one is
-// canceled, and the new one is called for the full list.
+// TestDiscoveryChangesAddress checks that a watch at the previous address of discovery is canceled
+// when the address changes, and that the node asks for the full list at the new address.
 func TestDiscoveryChangesAddress(t *testing.T) {
 	hang := make(chan struct{})
 	t.Cleanup(func() { close(hang) })
@@ -131,25 +132,26 @@
 	cfg.DiscoveryAddress = testsupport.StartFakeEndpoint(t, list("old", before)).Addr
 	h := startNode(t, cfg)
 	if first, watch := <-before, <-before; first != "/api/targets" || !strings.Contains(watch, "index=7") {
-		t.Fatalf("calls %q, %q", first, watch)
+		t.Fatalf("calls %q, %q, want /api/targets and then index=7", first, watch)
 	}
 	changedAt := time.Now()
 	h.node.ChangeAddresses(testsupport.StartFakeEndpoint(t, list("new", after)).Addr, "")
 	if first, watch := <-after, <-after; first != "/api/targets" || !strings.Contains(watch, "index=7") {
-		t.Errorf("calls at the new address %q, %q", first, watch)
+		t.Errorf("calls at the new address %q, %q, want /api/targets and then index=7", first, watch)
 	}
 	if time.Since(changedAt) >= discovery.WatchLongPollWait {
-		t.Error("the previous watch was not canceled")
+		t.Errorf("the new address was called after %v or more: the previous watch was not canceled", discovery.WatchLongPollWait)
 	}
 	h.node.mu.Lock()
 	defer h.node.mu.Unlock()
 	if endpoints := maps.Collect(h.node.pool.Endpoints()); len(endpoints) != 1 || endpoints["new"] == nil {
-		t.Errorf("endpoints %v", endpoints)
+		t.Errorf("endpoints %v, want \"new\" only", endpoints)
 	}
 }
 
-// Guards against forwarding to a process under another one's id: a new endpoint at the
-// address of one still listed takes its place, and gets connections of its own.
+// TestEndpointTakesOverAddress checks that a new endpoint at the address of one that is still
+// listed replaces it and gets new connections. Otherwise requests for the old endpoint would
+// reach the new process.
 func TestEndpointTakesOverAddress(t *testing.T) {
 	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
@@ -158,32 +160,34 @@
 		policy.IncrementalUpdate)
 	h.node.mu.Lock()
 	if p := h.node.pool; p.Endpoint("s-0") != nil || p.Endpoint("s-new") == nil || p.ServingEndpoints() != 1 || p.OpenConns() != 0 {
-		t.Errorf("%d serving, %d connections, %v", p.ServingEndpoints(), p.OpenConns(), maps.Collect(p.Endpoints()))
+		t.Errorf("%d serving endpoints, %d connections, endpoints %v, want s-new only, serving, and no connection",
+			p.ServingEndpoints(), p.OpenConns(), maps.Collect(p.Endpoints()))
 	}
 	h.node.mu.Unlock()
 	if resp, _ := h.dial().roundTrip(clientRequest("merge", "00000000000000bb")); resp.StatusCode != http.StatusOK {
-		t.Errorf("status %d", resp.StatusCode)
+		t.Errorf("status %d, want %d", resp.StatusCode, http.StatusOK)
 	}
 }
 
-// pauseRecorder stands in for the pauses between the calls of a node that polls discovery:
-// it records them without waiting, and stops the node after a number of failed calls.
+// pauseRecorder replaces the pauses between the calls of a node that polls discovery: it records
+// and checks them without waiting, and stops the node after a number of failed calls.
 type pauseRecorder struct {
 	t            *testing.T
 	node         *Node
 	failures     int
 	pauses       []time.Duration
-	pauseEndedAt time.Time // when the last pause ended and the call after it began
+	pauseEndedAt time.Time // when the last pause ended and the next call began
 }
 
+// pause takes the place of the discovery client's pause before a call.
 func (p *pauseRecorder) pause(_ context.Context, wait time.Duration) {
 	if len(p.pauses) > 0 {
 		minInterval := time.Duration((1 - discovery.PollIntervalJitter) * float64(discovery.MaxPollInterval))
 		if interval := wait + time.Since(p.pauseEndedAt); interval < minInterval {
-			p.t.Errorf("a call %v after the one before: the fleet calls too often", interval)
+			p.t.Errorf("a call %v after the previous one, want at least %v", interval, minInterval)
 		}
 		if wait+discovery.PollResponseAllowance >= discovery.NotificationDeadline {
-			p.t.Errorf("a wait of %v: what discovery had counts as notified after %v", wait, discovery.NotificationDeadline)
+			p.t.Errorf("a pause of %v before a call, too long to learn of a change within %v", wait, discovery.NotificationDeadline)
 		}
 	}
 	p.pauses = append(p.pauses, wait)
@@ -193,10 +197,11 @@
 	p.pauseEndedAt = time.Now()
 }
 
-// Guards discovery against a fleet in step: nodes that start together spread their first
-// calls, ask for what they missed instead of the full list, and after failed calls wait so
-// long that all of them together call no more than the service serves, and no longer than
-// leaves each of them time until what it misses counts as notified.
+// TestPollsAreSpreadAcrossFleet checks that nodes that poll discovery and start together do not
+// overload it: their first calls are spread over the jitter window and ask for changes instead of
+// the full list. After a failed call a node pauses so long that the calls of the whole fleet stay
+// within the service's capacity, but short enough to learn of a change before
+// NotificationDeadline.
 func TestPollsAreSpreadAcrossFleet(t *testing.T) {
 	uris := make(chan string, 1024)
 	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
@@ -204,8 +209,8 @@
 		return respondUnavailable(c)
 	})
 	const fleet, failures = 80, 4
-	const window = discovery.MaxJitterWindow // 80 nodes would spread over longer than may be
-	quarters := [4]int{}                     // of the window, in which nodes make their first call
+	const window = discovery.MaxJitterWindow // the longest window, as 80 nodes would need a longer one
+	quarters := [4]int{}                     // nodes by the quarter of the window of their first call
 	for seed := range uint64(fleet) {
 		cfg := newPollingConfig(t, service.Addr, seed, fleet)
 		cfg.KnownEndpoints.Generation = 41
@@ -215,26 +220,26 @@
 		n.discovery.Run(n.ctx)
 		waits := recorder.pauses
 		if len(waits) != failures+1 || waits[0] < 0 || waits[0] >= window {
-			t.Fatalf("waits %v, want %d and the first within %v", waits, failures+1, window)
+			t.Fatalf("pauses %v, want %d, the first shorter than %v", waits, failures+1, window)
 		}
 		quarters[waits[0]*4/window]++
 	}
 	for range fleet * failures {
 		if uri := <-uris; !strings.HasPrefix(uri, "/api/targets?index=41&") {
-			t.Fatalf("call %q, want a watch from what is known", uri)
+			t.Fatalf("call %q, want a call for the changes after generation 41", uri)
 		}
 	}
 	for i, calls := range quarters {
 		if calls < fleet/4/3 || calls > fleet/4*2 {
-			t.Errorf("%d of %d first calls in quarter %d of %v", calls, fleet, i, window)
+			t.Errorf("%d of %d first calls in quarter %d of %v, want %d to %d", calls, fleet, i, window, fleet/4/3, fleet/4*2)
 		}
 	}
 }
 
-// Guards a new process where discovery is watched: what the agent on its machine has counts
-// as notified from the first moment, so the first call comes before any wait, and the waits
-// after failed calls stay well within the drain grace, for which an endpoint that drains may
-// get requests.
+// TestWatchStartsWithoutDelay checks a new process that watches an agent of discovery on its
+// machine. A change counts as notified as soon as the agent has it, so the node calls at once, and
+// its pauses after failed calls stay well within the drain grace, the time for which a draining
+// endpoint may still get requests.
 func TestWatchStartsWithoutDelay(t *testing.T) {
 	for _, grace := range []time.Duration{0, 150 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second} {
 		calls := make(chan string, 64)
@@ -252,10 +257,10 @@
 		n.discovery.Options.Pause = func(_ context.Context, wait time.Duration) {
 			waits++
 			if len(calls) < waits {
-				t.Errorf("grace %v: a wait of %v before call %d", grace, wait, waits)
+				t.Errorf("drain grace %v: a pause of %v before call %d was made", grace, wait, waits)
 			}
 			if grace > 0 && wait > grace/2 {
-				t.Errorf("grace %v: a wait of %v", grace, wait)
+				t.Errorf("drain grace %v: a pause of %v, want at most %v", grace, wait, grace/2)
 			}
 			if waits == failures {
 				n.stop()
@@ -265,13 +270,14 @@
 	}
 }
 
-// Guards a watch that has fallen silent: it is given up and renewed on another connection,
-// with what it missed, long before that counts as notified.
+// TestSilentWatchIsRenewed checks that a watch without a response is canceled and repeated on
+// another connection, which delivers the changes missed, well before the node counts as notified
+// of them.
 func TestSilentWatchIsRenewed(t *testing.T) {
 	timing := discovery.NewTiming(testConfig(t).Settings)
 	renewal := timing.LongPollWait + timing.SilenceMargin + timing.MinBackoff
 	if deadline := 6 * time.Second; renewal >= deadline {
-		t.Errorf("a silent watch is renewed after %v, what it misses counts as notified after %v", renewal, deadline)
+		t.Errorf("a silent watch is renewed after %v, want less than %v, when missed changes count as notified", renewal, deadline)
 	}
 	ports := make(chan string, 64)
 	silent := make(chan struct{})
@@ -280,7 +286,7 @@
 	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		ports <- c.RemoteAddr().String()
 		switch calls.Add(1) {
-		case 1: // what is known is up to date
+		case 1: // the node's list is up to date
 			return respondList(c, `{"generation":7,"reset":false,"instances":[]}`)
 		case 2:
 			<-silent
@@ -299,9 +305,9 @@
 	n.start()
 	defer n.close()
 	if _, first, second := <-ports, <-ports, <-ports; first == second {
-		t.Error("the new watch is on the connection that fell silent")
+		t.Errorf("the silent watch and the next one are on the same connection, %s", first)
 	}
-	testsupport.Eventually(t, "the drain", func() bool {
+	testsupport.Eventually(t, "the drain of s-0", func() bool {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		endpoint := n.pool.Endpoint("s-0")
@@ -309,34 +315,34 @@
 	})
 }
 
-// Guards drains where discovery is one service that a large fleet polls: calls that fall
-// silent together are found so one after another, and each node waits no longer than leaves
-// the next call its time until what it misses counts as notified.
+// TestUnresponsivePollsAreStaggered checks a large fleet that polls one discovery service. Calls
+// that get no response from the same moment on time out at different times, and each node makes
+// the next call early enough to learn of a change before NotificationDeadline.
 func TestUnresponsivePollsAreStaggered(t *testing.T) {
 	const fleet = 12
-	holds := map[int]bool{}
+	waits := map[int]bool{}
 	for seed := range uint64(fleet) {
 		for _, ms := range longPollWaits(t, seed) {
-			holds[ms] = true
+			waits[ms] = true
 		}
 	}
-	if len(holds) < fleet {
-		t.Errorf("%d calls are held for %d different times", 2*fleet, len(holds))
+	if len(waits) < fleet {
+		t.Errorf("%d calls have %d different long-poll waits, want at least %d", 2*fleet, len(waits), fleet)
 	}
 }
 
-// longPollWaits runs a node whose third call to discovery falls silent, and returns the
+// longPollWaits runs a node whose third call to discovery gets no response, and returns the
 // long-poll waits of its second and third call in milliseconds.
 func longPollWaits(t *testing.T, seed uint64) [2]int {
 	t.Helper()
-	const hold = 100 * time.Millisecond
+	const maxWait = 100 * time.Millisecond
 	var calls atomic.Int32
-	silent, holds := make(chan struct{}), make(chan int, 64)
+	silent, waits := make(chan struct{}), make(chan int, 64)
 	defer close(silent)
 	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		var ms int
 		fmt.Sscan(req.URL.Query().Get("wait"), &ms)
-		holds <- ms
+		waits <- ms
 		if calls.Add(1) == 3 {
 			<-silent
 			return false
@@ -345,36 +351,36 @@
 		return calls.Load() < 3
 	})
 	n := newUnstartedNode(t, newPollingConfig(t, service.Addr, seed, 300))
-	n.discovery.Options.Timing.LongPollWait = hold
-	n.discovery.Options.Timing.SilenceMargin = hold
+	n.discovery.Options.Timing.LongPollWait = maxWait
+	n.discovery.Options.Timing.SilenceMargin = maxWait
 	pauses := 0
 	n.discovery.Options.Pause = func(_ context.Context, wait time.Duration) {
 		pauses++
-		if pauses != 2 { // the first is that of the start
+		if pauses != 2 { // the first one precedes the first call
 			return
 		}
 		if wait > discovery.NotificationDeadline-discovery.PollResponseAllowance || wait <= 0 {
-			t.Errorf("seed %d: the next call waits %v, what is missed counts as notified after %v",
-				seed, wait, discovery.NotificationDeadline)
+			t.Errorf("seed %d: a pause of %v after the call without a response, want above 0 and at most %v",
+				seed, wait, discovery.NotificationDeadline-discovery.PollResponseAllowance)
 		}
 		n.stop()
 	}
 	n.discovery.Run(n.ctx)
-	if ms := <-holds; ms > 1 {
-		t.Errorf("seed %d: the first call is held for %d ms, which a hung one would cost", seed, ms)
+	if ms := <-waits; ms > 1 {
+		t.Errorf("seed %d: the first call has a long-poll wait of %d ms, want at most 1 ms, as it may get no response", seed, ms)
 	}
-	var held [2]int
-	for i := range held {
-		held[i] = <-holds
-		if float64(held[i]) < discovery.MinLongPollWaitFraction*float64(hold.Milliseconds())-1 || held[i] > int(hold.Milliseconds()) {
-			t.Errorf("seed %d: a call held for %d ms", seed, held[i])
+	var longPolls [2]int
+	for i := range longPolls {
+		longPolls[i] = <-waits
+		if float64(longPolls[i]) < discovery.MinLongPollWaitFraction*float64(maxWait.Milliseconds())-1 || longPolls[i] > int(maxWait.Milliseconds()) {
+			t.Errorf("seed %d: a long-poll wait of %d ms, want %v to 1 times %v", seed, longPolls[i], discovery.MinLongPollWaitFraction, maxWait)
 		}
 	}
-	return held
+	return longPolls
 }
 
-// Guards a process that starts with no endpoint known and with discovery down: it is not
-// ready before it has a list, and is ready once it has.
+// TestReadyAfterFirstList checks that a process that knows no endpoint and can't reach discovery is
+// not ready, and that it becomes ready with the first list.
 func TestReadyAfterFirstList(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		var up atomic.Bool
@@ -392,17 +398,17 @@
 		cfg.Settings.DiscoveryMode = mode
 		h := startNode(t, cfg)
 		if uri := testsupport.Receive(t, "a call", calls); uri != "/api/targets" {
-			t.Errorf("%s: the first call is %s", mode, uri)
+			t.Errorf("%s: the first call is %s, want /api/targets", mode, uri)
 		}
 		ready := func() int {
 			resp, body := h.dial().roundTrip("GET " + readyPath + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 			if body != "" {
-				t.Errorf("%s: says %q", mode, body)
+				t.Errorf("%s: the readiness check has the body %q, want none", mode, body)
 			}
 			return resp.StatusCode
 		}
 		if status := ready(); status != http.StatusServiceUnavailable {
-			t.Errorf("%s: status %d without a list", mode, status)
+			t.Errorf("%s: status %d without a list, want %d", mode, status, http.StatusServiceUnavailable)
 		}
 		up.Store(true)
 		testsupport.Eventually(t, "readiness", func() bool { return ready() == http.StatusOK })
