--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -38,7 +38,7 @@
 }
 
 // Guards what is read from a configuration file.
-func TestLoad(t *testing.T) {
+func TestLoadReadsEveryKey(t *testing.T) {
 	clearEnvironment(t)
 	file, err := config.Load(writeFile(t, validFile))
 	if err != nil {
@@ -56,8 +56,8 @@
 	if got := file.ProcessLimits.MemoryBytes(); got != 192<<20 {
 		t.Errorf("memory: %d bytes", got)
 	}
-	if string(file.Known) != `{"generation":41}` {
-		t.Errorf("known: %s", file.Known)
+	if string(file.CachedList) != `{"generation":41}` {
+		t.Errorf("known: %s", file.CachedList)
 	}
 	if file.Settings.Gateways != 2 || file.Settings.Classes[0].Name != "c" {
 		t.Errorf("settings: %+v", file.Settings)
@@ -114,11 +114,11 @@
 }
 
 // Guards the errors that belong to no key of the file.
-func TestLoadErrorsOfTheFile(t *testing.T) {
+func TestLoadReportsUnreadableFile(t *testing.T) {
 	clearEnvironment(t)
 	_, err := config.Load("")
 	var keyError *config.KeyError
-	if !errors.As(err, &keyError) || keyError.Key != config.PathVariable || !errors.Is(err, config.ErrMissing) {
+	if !errors.As(err, &keyError) || keyError.Key != config.FileVariable || !errors.Is(err, config.ErrMissing) {
 		t.Errorf("without a path: %v", err)
 	}
 	_, err = config.Load(filepath.Join(t.TempDir(), "none"))
@@ -133,7 +133,7 @@
 }
 
 // Guards that names outside the lists are rejected with their key and value.
-func TestDecodeNamesUnknownValues(t *testing.T) {
+func TestDecodeErrorsNameUnknownValues(t *testing.T) {
 	for key, want := range map[string]string{
 		"effect": `malformed: effect: unknown value "maybe"`,
 		"group":  `malformed: group: unknown value "maybe"`,
--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -237,7 +237,7 @@
 // plausibleUnits reports whether an endpoint's figure for the quota units of a request is
 // within the largest that the settings allow.
 func (n *Node) plausibleUnits(units float64) bool {
-	maxUnits := n.cfg.Settings.Service.MaxRequestUnits
+	maxUnits := n.cfg.Settings.Accounting.MaxRequestUnits
 	return maxUnits <= 0 || units <= maxUnits
 }
 
--- a/internal/edge/attempt_test.go
+++ b/internal/edge/attempt_test.go
@@ -35,14 +35,14 @@
 // TestDrainGraceEndsDuringDial checks that nothing is written to an endpoint whose drain grace
 // ends while its connection is dialed, and that the request is rejected as never run.
 func TestDrainGraceEndsDuringDial(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	started, release := h.blockDials(func() bool { return true })
 	c := h.dial()
 	io.WriteString(c, clientRequest("merge", "00000000000000aa"))
 	<-started
 	h.node.mu.Lock()
-	drainedAt := time.Now().Add(-h.node.cfg.Settings.Rules.DrainGrace)
+	drainedAt := time.Now().Add(-h.node.cfg.Settings.EndpointRules.DrainGrace)
 	h.node.pool.UpdateEndpoint(upstream.EndpointUpdate{ID: "s-0", Addr: endpoint.Addr, State: policy.Draining}, drainedAt)
 	h.node.mu.Unlock()
 	close(release)
@@ -59,7 +59,7 @@
 // is dialed.
 func TestDedupWindowEndsDuringDial(t *testing.T) {
 	fault := testsupport.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-	a, b := testsupport.StartFakeEndpoint(t, fault), testsupport.StartFakeEndpoint(t, fault)
+	a, b := testsupport.StartFakeServer(t, fault), testsupport.StartFakeServer(t, fault)
 	h := startNode(t, testConfig(t), a.Addr, b.Addr)
 	started, release := h.blockDials(func() bool { return len(append(a.Requests(), b.Requests()...)) > 0 })
 	c := h.dial()
@@ -87,10 +87,10 @@
 	var broken atomic.Bool
 	release := make(chan struct{})
 	defer close(release)
-	a := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	a := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		return !broken.Load() && testsupport.RespondOK(c, req, body)
 	})
-	b := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
+	b := testsupport.StartFakeServer(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	h := startNode(t, testConfig(t), a.Addr)
 	c := h.dial()
 	for i := range 40 { // the policy learns the usual latency from these
@@ -118,7 +118,7 @@
 func TestThirdConcurrentRequestIsForwarded(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondAfter(release, testsupport.RespondOK))
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	for i := range 3 {
 		io.WriteString(h.dial(), clientRequest("merge", fmt.Sprintf("%016x", i+1)))
@@ -144,9 +144,9 @@
 // response, from which it settles quotas, but not of malformed or implausible ones.
 func TestActualUnitsReachPolicy(t *testing.T) {
 	for text, want := range map[string]float64{"3": 3, "2.5": 2.5, "-1": 0, "NaN": 0, "1e9": 0, "999999": 0, "": 0} {
-		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondWith("HTTP/1.1 200 OK\r\nApi-Charge: "+text+"\r\nContent-Length: 2\r\n\r\nok"))
+		endpoint := testsupport.StartFakeServer(t, testsupport.RespondWith("HTTP/1.1 200 OK\r\nApi-Charge: "+text+"\r\nContent-Length: 2\r\n\r\nok"))
 		cfg := testConfig(t)
-		cfg.Settings.Service.MaxRequestUnits = 6
+		cfg.Settings.Accounting.MaxRequestUnits = 6
 		h := startNode(t, cfg, endpoint.Addr)
 		recorder := actualUnitsRecorder{policyGateway: h.node.gateway, units: make(chan float64, 8)}
 		h.node.mu.Lock()
--- a/internal/edge/connreuse_test.go
+++ b/internal/edge/connreuse_test.go
@@ -25,7 +25,7 @@
 // endpoint closed while it was idle. The write would end in a reset, after which a non-idempotent
 // request can't be retried.
 func TestStaleConnectionIsNotReused(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		testsupport.RespondOK(c, req, body)
 		return false // closes the connection without a Connection: close header
 	})
@@ -40,7 +40,7 @@
 			h.node.mu.Lock()
 			defer h.node.mu.Unlock()
 			idle := h.node.pool.Endpoint("s-0").IdleConns()
-			return len(idle) == 0 || !idle[0].IsQuiet()
+			return len(idle) == 0 || !idle[0].IsReusable()
 		})
 	}
 }
@@ -49,7 +49,7 @@
 // endpoint as the first.
 func TestConnectionIsReused(t *testing.T) {
 	ports := make(chan string, 8)
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		ports <- c.RemoteAddr().String()
 		return testsupport.RespondOK(c, req, body)
 	})
@@ -135,7 +135,7 @@
 func TestDuplicateResponseWhileIdle(t *testing.T) {
 	send := make(chan struct{})
 	var seen atomic.Int64
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, body []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
 		testsupport.RespondOK(c, req, body)
 		if seen.Add(1) == 1 {
 			<-send
@@ -156,9 +156,9 @@
 			return len(idle) == 1 && ok(idle[0])
 		}
 	}
-	testsupport.Eventually(t, "one quiet idle connection", firstIdle((*upstream.Conn).IsQuiet))
+	testsupport.Eventually(t, "one idle connection that is reusable", firstIdle((*upstream.Conn).IsReusable))
 	close(send)
-	testsupport.Eventually(t, "the arrival of the duplicate", firstIdle(func(conn *upstream.Conn) bool { return !conn.IsQuiet() }))
+	testsupport.Eventually(t, "the arrival of the duplicate", firstIdle(func(conn *upstream.Conn) bool { return !conn.IsReusable() }))
 	time.Sleep(upstream.ReuseDelay) // the delay alone no longer prevents the reuse
 	for i := 1; i < 3; i++ {
 		if resp, body := c.roundTrip(clientRequest("merge", fmt.Sprintf("%016x", i))); resp.StatusCode != http.StatusOK || body != "hello" {
--- a/internal/edge/counter_test.go
+++ b/internal/edge/counter_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	cfg := testConfig(t)
 	cfg.CounterAddress = address
-	cfg.Settings.Service.CounterTimeout = timeout
+	cfg.Settings.Accounting.CounterTimeout = timeout
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 func TestCounterCallsArePipelined(t *testing.T) {
 	uris := make(chan string, 8)
 	total := 0
-	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	counter := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		uris <- req.Method + " " + req.RequestURI
 		total++
 		if total == 3 {
@@ -100,7 +100,7 @@
 func TestCounterLateResponseIsDropped(t *testing.T) {
 	release := make(chan struct{})
 	calls := 0
-	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	counter := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		if calls++; calls == 1 {
 			<-release
 			return testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n111")(c, req, nil)
@@ -114,7 +114,7 @@
 	if got := replies.next(t); got.Outcome != policy.TimedOut {
 		t.Errorf("first call: outcome %+v, want %d", got, policy.TimedOut)
 	}
-	n.cfg.Settings.Service.CounterTimeout = testsupport.MaxWait
+	n.cfg.Settings.Accounting.CounterTimeout = testsupport.MaxWait
 	n.testAdd(1, 1)
 	close(release)
 	if got := replies.next(t); got.Outcome != policy.Succeeded || got.Total != 222 {
@@ -126,7 +126,7 @@
 // than the configured counter timeout, but less than counterTimeoutFactor times that, is used.
 func TestCounterSlowResponseCounts(t *testing.T) {
 	const timeout = 250 * time.Millisecond
-	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	counter := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		time.Sleep(timeout * 3 / 2)
 		return testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7")(c, req, nil)
 	})
@@ -151,7 +151,7 @@
 	if got := replies.next(t); got.Outcome != policy.ConnectFailed {
 		t.Errorf("connection refused: outcome %+v, want %d", got, policy.ConnectFailed)
 	}
-	counter := testsupport.StartFakeEndpoint(t, func(net.Conn, *http.Request, []byte) bool { return false })
+	counter := testsupport.StartFakeServer(t, func(net.Conn, *http.Request, []byte) bool { return false })
 	n = startCounterNode(t, counter.Addr, testsupport.MaxWait)
 	replies = recordCounter(n)
 	n.testAdd(1, 1)
@@ -206,14 +206,14 @@
 // of them.
 func TestCounterChangesAddress(t *testing.T) {
 	release, closed := make(chan struct{}), make(chan struct{})
-	previous := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	previous := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		<-release
 		testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n111")(c, req, nil)
 		io.Copy(io.Discard, c)
 		close(closed)
 		return false
 	})
-	replacement := testsupport.StartFakeEndpoint(t, testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n222"))
+	replacement := testsupport.StartFakeServer(t, testsupport.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n222"))
 	n := startCounterNode(t, previous.Addr, testsupport.MaxWait)
 	replies := recordCounter(n)
 	n.testAdd(1, 1)
@@ -236,7 +236,7 @@
 func TestCounterInvalidTotal(t *testing.T) {
 	for _, body := range []string{"NaN", "Inf", "0x10", "1e400", "", "7 7"} {
 		calls, release := 0, make(chan struct{})
-		counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+		counter := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 			text := "7"
 			if calls++; calls == 1 {
 				<-release
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -43,7 +43,7 @@
 // that the connection serves the next request.
 func TestClientDisconnectsDuringDial(t *testing.T) {
 	for _, class := range []string{"lookup", "merge"} {
-		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+		endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 		h := startNode(t, testConfig(t), endpoint.Addr)
 		started, release := h.blockDials(func() bool { return true })
 		c := h.dial()
@@ -70,17 +70,17 @@
 // TestClientDisconnectsDuringCounterCall checks that a request is not forwarded if its client
 // disconnects before the counter's response admits it, and that its units are returned.
 func TestClientDisconnectsDuringCounterCall(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	calls, answer := make(chan string, 8), make(chan struct{})
-	counter := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	counter := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		calls <- req.URL.Query().Get("delta")
 		<-answer
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2")
 		return true
 	})
 	cfg := testConfig(t)
-	cfg.CounterAddress, cfg.Settings.Service.CounterEnabled = counter.Addr, true
-	cfg.Settings.Service.CounterTimeout = testsupport.MaxWait // with more than half of its timeout a request would not wait
+	cfg.CounterAddress, cfg.Settings.Accounting.CounterEnabled = counter.Addr, true
+	cfg.Settings.Accounting.CounterTimeout = testsupport.MaxWait // with more than half of its timeout a request would not wait
 	cfg.Settings.Classes[0].Deadline = 3 * testsupport.MaxWait
 	plan := &cfg.Settings.Plans[0]
 	plan.Rate, plan.Burst, plan.OverQuotaCost = 2, 4, 1 // little enough that the shared bucket admits requests
@@ -116,7 +116,7 @@
 func startNodeWithoutCancel(t *testing.T, release <-chan struct{}) (h *harness, requests func() []string) {
 	t.Helper()
 	respond := testsupport.RespondAfter(release, testsupport.RespondWith(neverRanResponse))
-	a, b := testsupport.StartFakeEndpoint(t, respond), testsupport.StartFakeEndpoint(t, respond)
+	a, b := testsupport.StartFakeServer(t, respond), testsupport.StartFakeServer(t, respond)
 	cfg := testConfig(t)
 	cfg.Settings.Limits.AllowCancel = false
 	h = startNode(t, cfg, a.Addr, b.Addr)
@@ -234,7 +234,7 @@
 // written if the client's disconnect is detected after the policy has started the attempt.
 func TestClientDisconnectsBeforeAttemptIsWritten(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+		endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 		cfg := testConfig(t)
 		cfg.Settings.Limits.AllowCancel = cancel
 		h := startNode(t, cfg, endpoint.Addr)
@@ -266,8 +266,8 @@
 	client, accepted := connect(h.t, frontend.NewListener(testsupport.Listen(h.t), tracker))
 	ctx := tracker.ConnContext(context.Background(), accepted)
 	conn := frontend.ConnFromContext(ctx)
-	if got := socket.Peek(conn.Conn); got != socket.Quiet {
-		h.t.Errorf("before the client disconnects, the state of its connection is %d, want %d", got, socket.Quiet)
+	if got := socket.Peek(conn.Conn); got != socket.NoData {
+		h.t.Errorf("before the client disconnects, the state of its connection is %d, want %d", got, socket.NoData)
 	}
 	client.Close()
 	testsupport.Eventually(h.t, "the client's disconnect", func() bool { return socket.Peek(conn.Conn) == socket.Closed })
@@ -279,7 +279,7 @@
 // process that was stalled. It covers a disconnect before the attempt of a request that has
 // waited is written, and one before the request is received.
 func TestUnreadDisconnect(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	_, conn := h.disconnectedClient()
 	h.node.mu.Lock()
@@ -296,7 +296,7 @@
 // TestClientDisconnectsDuringBody checks that a request is not forwarded if its client disconnects
 // while it sends the body.
 func TestClientDisconnectsDuringBody(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	c := h.dial()
 	text := clientRequest("merge", "00000000000000aa")
@@ -312,7 +312,7 @@
 // disconnects, so that the endpoint can stop its work.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	closed := make(chan struct{})
-	endpoint := testsupport.StartFakeEndpoint(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		c.SetReadDeadline(time.Now().Add(testsupport.MaxWait))
 		if _, err := c.Read(make([]byte, 1)); err == io.EOF {
 			close(closed)
@@ -333,7 +333,7 @@
 func TestHalfCloseCountsAsDisconnect(t *testing.T) {
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
-	endpoint := testsupport.StartFakeEndpoint(t, func(net.Conn, *http.Request, []byte) bool {
+	endpoint := testsupport.StartFakeServer(t, func(net.Conn, *http.Request, []byte) bool {
 		<-release
 		return false
 	})
--- a/internal/edge/discovery.go
+++ b/internal/edge/discovery.go
@@ -8,12 +8,12 @@
 // to applyList. Node.mu guards its address.
 func (n *Node) newDiscoveryClient(address string) *discovery.Client {
 	return discovery.New(address, discovery.Options{
-		Lock:   &n.mu,
-		Timing: discovery.NewTiming(n.cfg.Settings),
-		Seed:   n.cfg.Seed,
-		Known:  n.cfg.KnownEndpoints,
-		OnList: n.applyList,
-		Log:    n.log,
+		Lock:       &n.mu,
+		Timing:     discovery.NewTiming(n.cfg.Settings),
+		Seed:       n.cfg.Seed,
+		CachedList: n.cfg.KnownEndpoints,
+		OnList:     n.applyList,
+		Log:        n.log,
 	})
 }
 
--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -42,7 +42,7 @@
 	cfg.Seed = seed
 	cfg.Settings.Gateways = gateways
 	cfg.Settings.DiscoveryMode = "ask"
-	cfg.Settings.Rules.SubscriptionTimeout = 10 * time.Second
+	cfg.Settings.EndpointRules.SubscriptionTimeout = 10 * time.Second
 	cfg.KnownEndpoints.Instances = oneServingInstance()
 	return cfg
 }
@@ -68,7 +68,7 @@
 	}
 	lists := make(chan string)
 	uris := make(chan string, 16)
-	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		uris <- req.RequestURI
 		list, ok := <-lists
 		return ok && list != "" && respondList(c, list)
@@ -129,13 +129,13 @@
 	}
 	before, after := make(chan string, 16), make(chan string, 16)
 	cfg := testConfig(t)
-	cfg.DiscoveryAddress = testsupport.StartFakeEndpoint(t, list("old", before)).Addr
+	cfg.DiscoveryAddress = testsupport.StartFakeServer(t, list("old", before)).Addr
 	h := startNode(t, cfg)
 	if first, watch := <-before, <-before; first != "/api/targets" || !strings.Contains(watch, "index=7") {
 		t.Fatalf("calls %q, %q, want /api/targets and then index=7", first, watch)
 	}
 	changedAt := time.Now()
-	h.node.ChangeAddresses(testsupport.StartFakeEndpoint(t, list("new", after)).Addr, "")
+	h.node.ChangeAddresses(testsupport.StartFakeServer(t, list("new", after)).Addr, "")
 	if first, watch := <-after, <-after; first != "/api/targets" || !strings.Contains(watch, "index=7") {
 		t.Errorf("calls at the new address %q, %q, want /api/targets and then index=7", first, watch)
 	}
@@ -153,7 +153,7 @@
 // listed replaces it and gets new connections. Otherwise requests for the old endpoint would
 // reach the new process.
 func TestEndpointTakesOverAddress(t *testing.T) {
-	endpoint := testsupport.StartFakeEndpoint(t, testsupport.RespondOK)
+	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	h.dial().roundTrip(clientRequest("merge", "00000000000000aa"))
 	h.node.applyList(discovery.List{Instances: []discovery.Instance{{ID: "s-new", HostPort: endpoint.Addr, Zone: "a", Lifecycle: "SERVING"}}},
@@ -204,7 +204,7 @@
 // NotificationDeadline.
 func TestPollsAreSpreadAcrossFleet(t *testing.T) {
 	uris := make(chan string, 1024)
-	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		uris <- req.RequestURI
 		return respondUnavailable(c)
 	})
@@ -243,13 +243,13 @@
 func TestWatchStartsWithoutDelay(t *testing.T) {
 	for _, grace := range []time.Duration{0, 150 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second} {
 		calls := make(chan string, 64)
-		service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+		service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 			calls <- req.RequestURI
 			return respondUnavailable(c)
 		})
 		cfg := testConfig(t)
 		cfg.DiscoveryAddress = service.Addr
-		cfg.Settings.Rules.DrainGrace = grace
+		cfg.Settings.EndpointRules.DrainGrace = grace
 		cfg.KnownEndpoints.Instances = []discovery.Instance{{ID: "s-0", Lifecycle: discovery.Serving}}
 		n := newUnstartedNode(t, cfg)
 		const failures = 8
@@ -275,7 +275,7 @@
 // of them.
 func TestSilentWatchIsRenewed(t *testing.T) {
 	timing := discovery.NewTiming(testConfig(t).Settings)
-	renewal := timing.LongPollWait + timing.SilenceMargin + timing.MinBackoff
+	renewal := timing.LongPollWait + timing.ResponseMargin + timing.MinBackoff
 	if deadline := 6 * time.Second; renewal >= deadline {
 		t.Errorf("a silent watch is renewed after %v, want less than %v, when missed changes count as notified", renewal, deadline)
 	}
@@ -283,7 +283,7 @@
 	silent := make(chan struct{})
 	t.Cleanup(func() { close(silent) })
 	var calls atomic.Int32
-	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		ports <- c.RemoteAddr().String()
 		switch calls.Add(1) {
 		case 1: // the node's list is up to date
@@ -301,7 +301,7 @@
 	cfg.KnownEndpoints.Instances = oneServingInstance()
 	n := newUnstartedNode(t, cfg)
 	n.discovery.Options.Timing.LongPollWait = 10 * time.Millisecond
-	n.discovery.Options.Timing.SilenceMargin = 10 * time.Millisecond
+	n.discovery.Options.Timing.ResponseMargin = 10 * time.Millisecond
 	n.start()
 	defer n.close()
 	if _, first, second := <-ports, <-ports, <-ports; first == second {
@@ -339,7 +339,7 @@
 	var calls atomic.Int32
 	silent, waits := make(chan struct{}), make(chan int, 64)
 	defer close(silent)
-	service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+	service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 		var ms int
 		fmt.Sscan(req.URL.Query().Get("wait"), &ms)
 		waits <- ms
@@ -352,7 +352,7 @@
 	})
 	n := newUnstartedNode(t, newPollingConfig(t, service.Addr, seed, 300))
 	n.discovery.Options.Timing.LongPollWait = maxWait
-	n.discovery.Options.Timing.SilenceMargin = maxWait
+	n.discovery.Options.Timing.ResponseMargin = maxWait
 	pauses := 0
 	n.discovery.Options.Pause = func(_ context.Context, wait time.Duration) {
 		pauses++
@@ -385,7 +385,7 @@
 	for _, mode := range []string{"push", "ask"} {
 		var up atomic.Bool
 		calls := make(chan string, 1024)
-		service := testsupport.StartFakeEndpoint(t, func(c net.Conn, req *http.Request, _ []byte) bool {
+		service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
 			if up.Load() {
 				return respondList(c, `{"generation":8,"reset":true,"instances":`+
 					`[{"instanceId":"s-0","hostPort":"127.0.0.1:9","lifecycle":"SERVING"}]}`)
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -18,7 +18,7 @@
 func TestClientLimit(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.MaxDescriptors = 22 // 6 more than reservedDescriptors, half of them for clients
-	h := startNode(t, cfg, testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
+	h := startNode(t, cfg, testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
 	if limit := h.node.clients.Stats().MaxConns; limit != 3 {
 		t.Fatalf("the limit is %d client connections, want 3", limit)
 	}
@@ -49,20 +49,20 @@
 // TestOnlyServedRequestProvesConnection checks that a connection counts as proven, which makes its
 // eviction less likely, after a served request but not after half of one.
 func TestOnlyServedRequestProvesConnection(t *testing.T) {
-	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
+	h := startNode(t, testConfig(t), testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
 	testsupport.Eventually(t, "the close of earlier connections", func() bool { return h.node.clients.Stats().Open == 0 })
 	c := h.dial()
 	text := clientRequest("lookup", "00000000000000aa")
 	io.WriteString(c, text[:len(text)/2])
 	testsupport.Eventually(t, "the connection", func() bool { return h.node.clients.Stats().Open == 1 })
-	if proven := h.node.clients.Stats().Proven; proven != 0 {
-		t.Errorf("%d connections are proven after half a request, want 0", proven)
+	if count := h.node.clients.Stats().SentRequest; count != 0 {
+		t.Errorf("%d connections count as having sent a request after half of one, want 0", count)
 	}
 	if resp, _ := c.roundTrip(text[len(text)/2:]); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d, want %d", resp.StatusCode, http.StatusOK)
 	}
-	if proven := h.node.clients.Stats().Proven; proven != 1 {
-		t.Errorf("%d connections are proven after a served request, want 1", proven)
+	if count := h.node.clients.Stats().SentRequest; count != 1 {
+		t.Errorf("%d connections count as having sent a request after a served one, want 1", count)
 	}
 }
 
--- a/internal/edge/node_test.go
+++ b/internal/edge/node_test.go
@@ -19,7 +19,7 @@
 // TestPolicyPanicEndsNode checks that a node whose policy has panicked ends with an error, instead
 // of receiving further requests that it would never answer.
 func TestPolicyPanicEndsNode(t *testing.T) {
-	h := startNode(t, testConfig(t), testsupport.StartFakeEndpoint(t, testsupport.RespondOK).Addr)
+	h := startNode(t, testConfig(t), testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
 	h.node.mu.Lock()
 	h.node.gateway = panickingGateway{}
 	h.node.mu.Unlock()
