--- a/internal/edge/handler_test.go
+++ b/internal/edge/handler_test.go
@@ -14,11 +14,13 @@
 	"swiftpitch/internal/testsupport"
 )
 
+// malformedID is the ID of all requests in malformedRequests that have one.
 const malformedID = "00000000000000aa"
 
+// bodyTooLong is a body one byte over the limit.
 var bodyTooLong = strings.Repeat("x", frontend.MaxBodyBytes+1)
 
-// malformedRequests is the text of requests that are malformed, by what is wrong with them.
+// malformedRequests maps a short name of each defect to the text of a request that has it.
 var malformedRequests = map[string]string{
 	"class":         clientRequest("lookup", malformedID, "X-Qos: lookup", "X-Qos: nothing"),
 	"path":          clientRequest("lookup", malformedID, "/lookup/x", "/lookups"),
@@ -55,55 +57,54 @@
 	"noise":           "\x00\x01\x02\r\n\r\n",
 }
 
-// Guards against malformed requests: they are answered 400 and nothing of them reaches an
-// endpoint.
+// TestMalformedRequests checks that malformed requests are answered with status 400 and not
+// forwarded.
 func TestMalformedRequests(t *testing.T) {
 	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	for name, text := range malformedRequests {
 		t.Run(name, func(t *testing.T) {
 			c := h.dial()
-			go io.WriteString(c, text) // may be cut short by the answer
+			go io.WriteString(c, text) // may fail once the node has answered and closed the connection
 			if resp, _ := c.readResponse(); resp.StatusCode != http.StatusBadRequest {
-				t.Errorf("status %d", resp.StatusCode)
+				t.Errorf("status %d, want %d", resp.StatusCode, http.StatusBadRequest)
 			}
 		})
 	}
 	if got := endpoint.Requests(); len(got) > 0 {
-		t.Errorf("endpoint got %q", got)
+		t.Errorf("the endpoint received %q, want no request", got)
 	}
 }
 
-// Guards the bounds on the time for a request: they end a silent connection, half
-// a head and a body that never comes whole, and do not end a request that was read
-// whole and whose response takes longer.
+// TestReadTimeout checks that the read timeout ends a connection without a request, with part of a
+// head or with part of a body, but not one with a complete request whose response takes longer.
 func TestReadTimeout(t *testing.T) {
 	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
-		time.Sleep(frontend.ReadTimeout + 100*time.Millisecond) // the work
+		time.Sleep(frontend.ReadTimeout + 100*time.Millisecond) // simulates the request's processing
 		return testsupport.RespondOK(c, req, body)
 	})
 	h := startNode(t, testConfig(t), endpoint.Addr)
 	whole := clientRequest("merge", "00000000000000aa", "X-Expires-In-Ms: 3000", "X-Expires-In-Ms: 4000")
-	good := h.dial()
-	io.WriteString(good, whole)
-	var bad []*client
+	complete := h.dial()
+	io.WriteString(complete, whole)
+	var incomplete []*client
 	for _, text := range []string{"", whole[:60], strings.Replace(whole, "0123456789", "012", 1)} {
 		c := h.dial()
 		io.WriteString(c, text)
-		bad = append(bad, c)
+		incomplete = append(incomplete, c)
 	}
-	if resp, body := good.readResponse(); resp.StatusCode != http.StatusOK || body != "hello" {
-		t.Errorf("status %d, body %q", resp.StatusCode, body)
+	if resp, body := complete.readResponse(); resp.StatusCode != http.StatusOK || body != "hello" {
+		t.Errorf("complete request: status %d, body %q, want %d, %q", resp.StatusCode, body, http.StatusOK, "hello")
 	}
-	for i, c := range bad {
+	for i, c := range incomplete {
 		if text, err := io.ReadAll(c.reader); err != nil || i == 2 && !strings.HasPrefix(string(text), "HTTP/1.1 400") {
-			t.Errorf("bad client %d read %q, %v", i, text, err)
+			t.Errorf("incomplete request %d: read %q and error %v, want the end of the connection, after status 400 for request 2", i, text, err)
 		}
 	}
 }
 
-// Guards against bodies that do not fit the memory together: what exceeds the budget is
-// rejected unread, and the memory is free again once other requests are done.
+// TestBodyMemoryBudget checks that a request whose body exceeds the memory budget is rejected before
+// the body is read, and that a request's memory is free again once it is answered.
 func TestBodyMemoryBudget(t *testing.T) {
 	release := make(chan struct{})
 	endpoint := testsupport.StartFakeServer(t, testsupport.RespondAfter(release, testsupport.RespondOK))
@@ -115,26 +116,26 @@
 	io.WriteString(first, clientRequest("merge", "00000000000000aa", long...))
 	testsupport.Eventually(t, "the first request", func() bool { return len(endpoint.Requests()) == 1 })
 	over := h.dial()
-	go io.WriteString(over, clientRequest("merge", "00000000000000bb", long...)) // may be cut short
+	go io.WriteString(over, clientRequest("merge", "00000000000000bb", long...)) // may fail once the node has answered and closed the connection
 	if resp, _ := over.readResponse(); resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("over the budget: status %d", resp.StatusCode)
+		t.Errorf("over the budget: status %d, want %d", resp.StatusCode, http.StatusServiceUnavailable)
 	}
-	small := h.dial() // long bodies do not keep out the usual ones
+	small := h.dial() // long bodies do not keep out requests with short ones
 	io.WriteString(small, clientRequest("merge", "00000000000000dd"))
 	testsupport.Eventually(t, "the small request", func() bool { return len(endpoint.Requests()) == 2 })
 	close(release)
 	if resp, _ := small.readResponse(); resp.StatusCode != http.StatusOK {
-		t.Errorf("small: status %d", resp.StatusCode)
+		t.Errorf("short body: status %d, want %d", resp.StatusCode, http.StatusOK)
 	}
 	if resp, _ := first.readResponse(); resp.StatusCode != http.StatusOK {
-		t.Errorf("first: status %d", resp.StatusCode)
+		t.Errorf("first long body: status %d, want %d", resp.StatusCode, http.StatusOK)
 	}
 	if resp, _ := h.dial().roundTrip(clientRequest("merge", "00000000000000cc", long...)); resp.StatusCode != http.StatusOK {
-		t.Errorf("after it: status %d", resp.StatusCode)
+		t.Errorf("long body after the first is answered: status %d, want %d", resp.StatusCode, http.StatusOK)
 	}
 }
 
-// Guards bodies of the largest size in both directions.
+// TestLargestBodyIsForwarded checks a request body and a response body of the largest allowed size.
 func TestLargestBodyIsForwarded(t *testing.T) {
 	body := bytes.Repeat([]byte("z"), frontend.MaxBodyBytes)
 	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, _ *http.Request, got []byte) bool {
@@ -145,6 +146,6 @@
 	resp, got := h.dial().roundTrip(clientRequest("merge", "00000000000000aa", "Content-Length: 10",
 		fmt.Sprintf("Content-Length: %d", len(body)), "0123456789", string(body)))
 	if resp.StatusCode != http.StatusOK || got != string(body) {
-		t.Errorf("status %d, %d bytes", resp.StatusCode, len(got))
+		t.Errorf("status %d, body of %d bytes, want %d and the %d bytes that were sent", resp.StatusCode, len(got), http.StatusOK, len(body))
 	}
 }
--- a/internal/edge/readahead_test.go
+++ b/internal/edge/readahead_test.go
@@ -12,24 +12,25 @@
 	"swiftpitch/internal/testsupport"
 )
 
-// awaitReadAhead waits until the node has read so many bytes ahead on its one connection.
+// awaitReadAhead waits until the node has read at least want bytes ahead on its only connection.
 func awaitReadAhead(h *harness, want int) {
 	h.t.Helper()
-	testsupport.Eventually(h.t, "the reading ahead", func() bool {
+	testsupport.Eventually(h.t, fmt.Sprintf("%d bytes read ahead", want), func() bool {
 		stats := h.node.clients.Stats()
 		return stats.ReadAhead == 1 && stats.ReadAheadBytes >= want
 	})
 }
 
-// Guards what a client sends while its request is in flight: it is kept in its order, up
-// to a bound and to what the memory budget allows, and served once its turn comes.
+// TestReadAheadBytesAreServedInOrder checks that the requests that a client pipelines while its
+// first one is in flight are all served, in order. The node reads them ahead up to
+// MaxReadAheadBytes and to what the memory budget allows.
 func TestReadAheadBytesAreServedInOrder(t *testing.T) {
 	for name, memory := range map[string]int64{"memory for all": 1 << 20, "little memory": 2 * frontend.ReadAheadChunkBytes} {
 		t.Run(name, func(t *testing.T) { testBytesReadAhead(t, memory) })
 	}
 }
 
-// testBytesReadAhead runs the test with so many bytes left of the memory budget.
+// testBytesReadAhead runs the test with a memory budget of which memory bytes are free.
 func testBytesReadAhead(t *testing.T, memory int64) {
 	release := make(chan struct{})
 	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
@@ -53,30 +54,31 @@
 	}()
 	awaitReadAhead(h, int(min(memory, frontend.MaxReadAheadBytes)))
 	if left := h.node.memory.Free(); left < 0 || left > max(memory-frontend.MaxReadAheadBytes+2*frontend.ReadAheadChunkBytes, 0) {
-		t.Errorf("%d of %d bytes are left while %d are kept", left, memory, frontend.MaxReadAheadBytes)
+		t.Errorf("%d of %d bytes are free while %d are read ahead, want at least 0 and at most two chunks of %d more than needed",
+			left, memory, min(memory, frontend.MaxReadAheadBytes), frontend.ReadAheadChunkBytes)
 	}
 	close(release)
 	if resp, body := c.readResponse(); resp.StatusCode != http.StatusOK || body != numberedID(0) {
-		t.Fatalf("response 0: status %d, %q", resp.StatusCode, body)
+		t.Fatalf("response 0: status %d, body %q, want %d, %q", resp.StatusCode, body, http.StatusOK, numberedID(0))
 	}
 	for i := 1; i <= count; i++ {
 		want := numberedID(i) + numberedBody(i)
 		if resp, body := c.readResponse(); resp.StatusCode != http.StatusOK || body != want {
-			t.Fatalf("response %d: status %d, %q", i, resp.StatusCode, body)
+			t.Fatalf("response %d: status %d, body %q, want %d, %q", i, resp.StatusCode, body, http.StatusOK, want)
 		}
 	}
 	if err := <-wrote; err != nil {
-		t.Error(err)
+		t.Errorf("writing the pipelined requests: %v", err)
 	}
 	if got := len(endpoint.Requests()); got != 1+count {
-		t.Errorf("endpoint got %d requests, want %d", got, 1+count)
+		t.Errorf("the endpoint received %d requests, want %d", got, 1+count)
 	}
 	c.Close()
 	testsupport.Eventually(t, "the release of the memory", func() bool { return h.node.memory.Free() == memory })
 }
 
-// numberedRequests returns the text of requests 1 to count, of at least minBytes together. Ids
-// and bodies tell if one is lost or out of place.
+// numberedRequests returns the text of requests 1 to count, which has at least minBytes. Their IDs
+// and bodies contain the number, so that a lost or reordered request is detected.
 func numberedRequests(minBytes int) (text string, count int) {
 	var requests strings.Builder
 	for requests.Len() < minBytes {
@@ -86,12 +88,14 @@
 	return requests.String(), count
 }
 
+// numberedID returns the ID of request i.
 func numberedID(i int) string { return fmt.Sprintf("%016x", i) }
 
+// numberedBody returns the body of request i.
 func numberedBody(i int) string { return fmt.Sprintf("%08d--", i) }
 
-// Guards a begun request that was read ahead when the shutdown begins: its connection is not
-// idle, and the request is served.
+// TestShutdownServesReadAheadRequest checks that a request of which only a part has been read ahead
+// when the shutdown begins is served: its connection does not count as idle.
 func TestShutdownServesReadAheadRequest(t *testing.T) {
 	release := make(chan struct{})
 	endpoint := testsupport.StartFakeServer(t, testsupport.RespondAfter(release, testsupport.RespondOK))
@@ -106,8 +110,8 @@
 	close(release)
 	c.readResponse()
 	h.stop()
-	testsupport.Eventually(t, "the drain", h.node.clients.Draining)
+	testsupport.Eventually(t, "the start of draining", h.node.clients.Draining)
 	if resp, _ := c.roundTrip(next[40:]); resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("status %d, closing %v", resp.StatusCode, resp.Close)
+		t.Errorf("status %d, Connection: close %v, want %d, true", resp.StatusCode, resp.Close, http.StatusOK)
 	}
 }
