--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestOnlyServedRequestProvesConnection checks that a connection counts as proven, which makes its
-// eviction less likely, after a served request but not after half of one.
-func TestOnlyServedRequestProvesConnection(t *testing.T) {
+// TestPartialRequestDoesNotCountAsSent checks that a connection counts as having sent a request
+// after a whole one but not after half of one. Connections that have not are evicted sooner.
+func TestPartialRequestDoesNotCountAsSent(t *testing.T) {
 	h := startNode(t, testConfig(t), testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
 	testsupport.Eventually(t, "the close of earlier connections", func() bool { return h.node.clients.Stats().Open == 0 })
 	c := h.dial()
--- a/internal/edge/request_test.go
+++ b/internal/edge/request_test.go
@@ -13,9 +13,9 @@
 	"swiftpitch/internal/testsupport"
 )
 
-// Guards the plain path of a request: each kind of class is forwarded unchanged, with the
-// remaining time, and the endpoint's body comes back unchanged, many times over one client
-// connection.
+// TestForwardsRequests checks that requests of each class are forwarded unchanged but for the
+// remaining time, and that the endpoint's body comes back unchanged, for several requests on one
+// client connection.
 func TestForwardsRequests(t *testing.T) {
 	var mu sync.Mutex
 	heads := map[string]http.Header{}
@@ -37,30 +37,30 @@
 			want = "echo "
 		}
 		if resp.StatusCode != http.StatusOK || body != want {
-			t.Fatalf("%s: %d %q", class, resp.StatusCode, body)
+			t.Fatalf("%s: status %d, body %q, want %d, %q", class, resp.StatusCode, body, http.StatusOK, want)
 		}
 		if ct := resp.Header["Content-Type"]; len(ct) != 1 || ct[0] != "text/x-tmx" {
-			t.Errorf("%s: Content-Type %q", class, ct)
+			t.Errorf("%s: Content-Type %q, want text/x-tmx", class, ct)
 		}
 	}
 	want := []string{"GET /lookup/x?q=1 0000000000000000", "POST /save/x?q=1 0000000000000001",
 		"POST /merge/x?q=1 0000000000000002", "GET /lookup/x?q=1 0000000000000003"}
 	if got := endpoint.Requests(); fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("endpoint got %q", got)
+		t.Errorf("the endpoint received %q, want %q", got, want)
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	if k := heads["0000000000000001"].Get("Idempotency-Key"); k != "k-0000000000000001" {
-		t.Errorf("Idempotency-Key %q", k)
+		t.Errorf("Idempotency-Key %q, want k-0000000000000001", k)
 	}
 	var ms int
 	if _, err := fmt.Sscan(heads["0000000000000000"].Get("X-Expires-In-Ms"), &ms); err != nil || ms < 1 || ms > 3000 {
-		t.Errorf("X-Expires-In-Ms %d, %v", ms, err)
+		t.Errorf("X-Expires-In-Ms %d, error %v, want 1 to 3000", ms, err)
 	}
 }
 
-// Guards the one answer of an open request: another of the same id is malformed
-// and does not touch it.
+// TestDuplicateRequestID checks that a request with the ID of an open one is answered with status
+// 400 and does not affect the open one.
 func TestDuplicateRequestID(t *testing.T) {
 	release := make(chan struct{})
 	endpoint := testsupport.StartFakeServer(t, testsupport.RespondAfter(release, testsupport.RespondOK))
@@ -69,19 +69,19 @@
 	io.WriteString(first, clientRequest("merge", "00000000000000aa"))
 	testsupport.Eventually(t, "the first attempt", func() bool { return len(endpoint.Requests()) == 1 })
 	if resp, _ := second.roundTrip(clientRequest("merge", "00000000000000aa")); resp.StatusCode != http.StatusBadRequest {
-		t.Errorf("second: status %d", resp.StatusCode)
+		t.Errorf("second request: status %d, want %d", resp.StatusCode, http.StatusBadRequest)
 	}
 	close(release)
 	if resp, body := first.readResponse(); resp.StatusCode != http.StatusOK || body != "hello" {
-		t.Errorf("first: %d %q", resp.StatusCode, body)
+		t.Errorf("first request: status %d, body %q, want %d, %q", resp.StatusCode, body, http.StatusOK, "hello")
 	}
 	if got := endpoint.Requests(); len(got) != 1 {
-		t.Errorf("endpoint got %q", got)
+		t.Errorf("the endpoint received %q, want one request", got)
 	}
 }
 
-// Guards a rejection by the policy: it is answered at once, with Retry-After, and no
-// attempt is started.
+// TestPolicyRejectsRequest checks that a request that the policy rejects is answered with status
+// 429 and Retry-After and is not forwarded.
 func TestPolicyRejectsRequest(t *testing.T) {
 	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	cfg := testConfig(t)
@@ -89,34 +89,35 @@
 	h := startNode(t, cfg, endpoint.Addr)
 	resp, _ := h.dial().roundTrip(clientRequest("merge", "00000000000000aa", "basic", "none"))
 	if resp.StatusCode != http.StatusTooManyRequests || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
+		t.Errorf("status %d, Retry-After %q, want %d and a Retry-After header",
+			resp.StatusCode, resp.Header.Get("Retry-After"), http.StatusTooManyRequests)
 	}
 	if got := endpoint.Requests(); len(got) > 0 {
-		t.Errorf("endpoint got %q", got)
+		t.Errorf("the endpoint received %q, want no request", got)
 	}
 }
 
-// Guards against running a request twice: after a reset one that is not idempotent may have
-// run, so it is neither retried nor rejected; an idempotent one is retried elsewhere.
+// TestConnectionResetRetriesIdempotentOnly checks that no request runs twice unless it is idempotent:
+// after a connection reset a request may have run, so a non-idempotent one is answered with 502,
+// not retried or rejected, and an idempotent one is retried at the other endpoint.
 func TestConnectionResetRetriesIdempotentOnly(t *testing.T) {
 	reset := func(c net.Conn, _ *http.Request, _ []byte) bool { return false }
 	a, b := testsupport.StartFakeServer(t, reset), testsupport.StartFakeServer(t, reset)
 	h := startNode(t, testConfig(t), a.Addr, b.Addr)
 	if resp, _ := h.dial().roundTrip(clientRequest("merge", "00000000000000aa")); resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("not idempotent: status %d", resp.StatusCode)
+		t.Errorf("not idempotent: status %d, want %d", resp.StatusCode, http.StatusBadGateway)
 	}
 	if got := append(a.Requests(), b.Requests()...); len(got) != 1 {
-		t.Errorf("not idempotent: endpoints got %q", got)
+		t.Errorf("not idempotent: the endpoints received %q, want one request", got)
 	}
 	h.dial().roundTrip(clientRequest("lookup", "00000000000000bb"))
 	if got := append(a.Requests(), b.Requests()...); len(got) != 3 {
-		t.Errorf("idempotent: endpoints got %q", got)
+		t.Errorf("idempotent: the endpoints received %q, want the first request and two attempts of the second", got)
 	}
 }
 
-// Guards requests against being rejected for faults that all endpoints share: once
-// connections have broken everywhere, requests are still forwarded, and the endpoints can
-// show that they serve.
+// TestConnectionsLostEverywhere checks that requests are still forwarded after connections to all
+// endpoints have broken. If they were rejected, the endpoints could not show that they work again.
 func TestConnectionsLostEverywhere(t *testing.T) {
 	const lostConnections = 8
 	var received atomic.Int32
@@ -125,19 +126,19 @@
 	}
 	h := startNode(t, testConfig(t), testsupport.StartFakeServer(t, serve).Addr, testsupport.StartFakeServer(t, serve).Addr)
 	c := h.dial()
-	for i := 0; i < lostConnections && received.Load() < lostConnections; i++ { // two attempts each at most
+	for i := 0; i < lostConnections && received.Load() < lostConnections; i++ { // at most two attempts per request
 		c.roundTrip(clientRequest("lookup", fmt.Sprintf("%016x", i+1)))
 	}
 	for i := range 5 {
 		resp, _ := c.roundTrip(clientRequest("lookup", fmt.Sprintf("%016x", 100+i)))
 		if resp.StatusCode != http.StatusOK {
-			t.Errorf("request %d after %d attempts: status %d", i, received.Load(), resp.StatusCode)
+			t.Errorf("request %d after %d attempts: status %d, want %d", i, received.Load(), resp.StatusCode, http.StatusOK)
 		}
 	}
 }
 
-// Guards the deadline: an endpoint that does not respond does not keep the client waiting
-// past it.
+// TestUnresponsiveEndpoint checks that a request to an endpoint that does not respond is answered by
+// its deadline, but not given up too early.
 func TestUnresponsiveEndpoint(t *testing.T) {
 	endpoint := testsupport.StartFakeServer(t, func(net.Conn, *http.Request, []byte) bool { return true })
 	cfg := testConfig(t)
@@ -149,21 +150,21 @@
 		sent := time.Now()
 		resp, _ := h.dial().roundTrip(clientRequest(class, "00000000000000aa", "3000", "600"))
 		if took := time.Since(sent); took < 200*time.Millisecond {
-			t.Errorf("%s: given up after %v", class, took)
+			t.Errorf("%s: answered after %v, want at least %v", class, took, 200*time.Millisecond)
 		}
 		want := http.StatusBadGateway
 		if class == "lookup" {
 			want = http.StatusTooManyRequests
 		}
 		if resp.StatusCode != want {
-			t.Errorf("%s: status %d", class, resp.StatusCode)
+			t.Errorf("%s: status %d, want %d", class, resp.StatusCode, want)
 		}
 		testsupport.Eventually(t, "the end of the request", func() bool { return h.openRequests() == 0 })
 	}
 }
 
-// Guards the deadline guard: a request that the policy does not end is failed shortly
-// before its deadline.
+// TestDeadlineGuard checks that a request that the policy does not answer is answered with status
+// 504 shortly before its deadline.
 func TestDeadlineGuard(t *testing.T) {
 	h := startNode(t, testConfig(t))
 	req := &request{id: "x", deadline: time.Now().Add(100 * time.Millisecond), answer: make(chan answer, 1)}
@@ -172,11 +173,11 @@
 	h.node.requests[req.id] = req
 	h.node.mu.Unlock()
 	if a := testsupport.Receive(t, "the answer", req.answer); a.status != http.StatusGatewayTimeout {
-		t.Errorf("status %d", a.status)
+		t.Errorf("status %d, want %d", a.status, http.StatusGatewayTimeout)
 	}
 	h.node.mu.Lock()
 	defer h.node.mu.Unlock()
 	if len(h.node.requests) != 0 {
-		t.Error("the request is still held")
+		t.Errorf("%d requests are open, want none", len(h.node.requests))
 	}
 }
--- a/internal/edge/shutdown_test.go
+++ b/internal/edge/shutdown_test.go
@@ -13,57 +13,61 @@
 	"swiftpitch/internal/testsupport"
 )
 
-// Guards the requests that are open when the process is about to be killed: they get a whole
-// final answer, and the node ends by itself with nothing left open.
+// TestPendingRequestsAreAnsweredBeforeKill checks that requests that are open shortly before the
+// process would be killed get a complete final answer, that the node then ends without an error,
+// and that requests received after that are rejected.
 func TestPendingRequestsAreAnsweredBeforeKill(t *testing.T) {
-	endpoint := testsupport.StartFakeServer(t, func(net.Conn, *http.Request, []byte) bool { return true }) // never answers
+	endpoint := testsupport.StartFakeServer(t, func(net.Conn, *http.Request, []byte) bool { return true }) // never responds
 	h := startNode(t, testConfig(t), endpoint.Addr)
-	h.node.phases.answerTimeout = 50 * time.Millisecond // long before the request's own time is up
+	h.node.phases.answerTimeout = 50 * time.Millisecond // long before the request's deadline
 	h.node.phases.writeDuration = testsupport.MaxWait
 	c := h.dial()
 	io.WriteString(c, clientRequest("merge", "00000000000000aa"))
 	testsupport.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
 	h.stop()
 	if resp, _ := c.readResponse(); resp.StatusCode != http.StatusGatewayTimeout || !resp.Close {
-		t.Errorf("status %d, closing %v", resp.StatusCode, resp.Close)
+		t.Errorf("status %d, Connection: close %v, want %d, true", resp.StatusCode, resp.Close, http.StatusGatewayTimeout)
 	}
 	if err := <-h.done; err != nil {
-		t.Errorf("the node ends with %v", err)
+		t.Errorf("the node ended with the error %v", err)
 	}
 	late := &request{id: "late"}
 	h.node.receive(late, receivedEvent(late.id))
 	if a := <-late.answer; a.status != statusRejected {
-		t.Errorf("a request that comes later is answered %d", a.status)
+		t.Errorf("a later request has status %d, want %d", a.status, statusRejected)
 	}
 }
 
-// Guards the time that open requests have: for each deadline it ends before SIGKILL may
-// come, and where the deadline is short a request received last has all of its own time.
+// TestShutdownPhases checks the time that open requests have during a shutdown: it ends shortly
+// before the earliest SIGKILL, and for deadlines of up to 3 s the last request accepted has all of
+// its time.
 func TestShutdownPhases(t *testing.T) {
 	for _, longest := range []time.Duration{300 * time.Millisecond, 1100 * time.Millisecond, 2500 * time.Millisecond,
 		4 * time.Second, 30 * time.Second} {
 		kill := min(longest, 3*time.Second) + 700*time.Millisecond
 		if got := newShutdownPhases(longest).answerTimeout; got >= kill || got < kill-150*time.Millisecond {
-			t.Errorf("deadline %v: drained for %v, killed after %v", longest, got, kill)
+			t.Errorf("deadline %v: requests are answered after %v, want %v or later and before SIGKILL at %v",
+				longest, got, kill-150*time.Millisecond, kill)
 		}
 		if last := acceptDuration + longest; longest <= 3*time.Second && newShutdownPhases(longest).answerTimeout < last {
-			t.Errorf("deadline %v: drained for %v, requests received by then may run until %v", longest, newShutdownPhases(longest).answerTimeout, last)
+			t.Errorf("deadline %v: requests are answered after %v, want at least %v, the deadline of the last request",
+				longest, newShutdownPhases(longest).answerTimeout, last)
 		}
 	}
 }
 
-// Guards a request that comes in two parts with the end of the listener between them:
-// it is read to its end and served.
+// TestShutdownReadsPartialRequests checks that connections accepted before the listener closes are
+// served, also if part of the request or all of it arrives after that.
 func TestShutdownReadsPartialRequests(t *testing.T) {
 	h := startNode(t, testConfig(t), testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
 	h.node.phases.readDuration, h.node.phases.answerTimeout = testsupport.MaxWait, testsupport.MaxWait
 	text := clientRequest("merge", "00000000000000aa")
-	silent, half, body := h.dial(), h.dial(), h.dial() // nothing, half a head and half a body before the stop
+	silent, half, body := h.dial(), h.dial(), h.dial() // sent before the shutdown: nothing, half a head, half a body
 	io.WriteString(half, text[:40])
 	io.WriteString(body, text[:len(text)-5])
-	testsupport.Eventually(t, "the connections", func() bool { return h.node.clients.Stats().Open >= 3 })
+	testsupport.Eventually(t, "three open connections", func() bool { return h.node.clients.Stats().Open >= 3 })
 	h.stop()
-	testsupport.Eventually(t, "the end of the listener", func() bool {
+	testsupport.Eventually(t, "the close of the listener", func() bool {
 		c, err := net.Dial("tcp", h.addr)
 		if err == nil {
 			c.Close()
@@ -75,13 +79,14 @@
 	io.WriteString(body, text[len(text)-5:])
 	for i, c := range []*client{silent, half, body} {
 		if resp, got := c.readResponse(); resp.StatusCode != http.StatusOK || got != "hello" || !resp.Close {
-			t.Errorf("connection %d: status %d, body %q, closing %v", i, resp.StatusCode, got, resp.Close)
+			t.Errorf("connection %d: status %d, body %q, Connection: close %v, want %d, %q, true",
+				i, resp.StatusCode, got, resp.Close, http.StatusOK, "hello")
 		}
 	}
 }
 
-// Guards a request of which the first byte has been read on a kept connection when the
-// shutdown begins: the connection is not idle any more, and the request is served.
+// TestShutdownServesStartedRequest checks that a request is served if its first byte has been read
+// on a keep-alive connection when the shutdown begins: the connection is no longer idle.
 func TestShutdownServesStartedRequest(t *testing.T) {
 	h := startNode(t, testConfig(t), testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
 	h.node.phases.readDuration, h.node.phases.answerTimeout = testsupport.MaxWait, testsupport.MaxWait
@@ -93,14 +98,14 @@
 	io.WriteString(c, text[:1])
 	testsupport.Eventually(t, "the first byte", func() bool { return idle() == 0 })
 	h.stop()
-	testsupport.Eventually(t, "the drain", h.node.clients.Draining)
+	testsupport.Eventually(t, "the start of draining", h.node.clients.Draining)
 	if resp, _ := c.roundTrip(text[1:]); resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("status %d, closing %v", resp.StatusCode, resp.Close)
+		t.Errorf("status %d, Connection: close %v, want %d, true", resp.StatusCode, resp.Close, http.StatusOK)
 	}
 }
 
-// Guards against half a request when this side closes a connection that carries one: what was
-// read before the close is dropped. That nothing more is read is tested in internal/frontend.
+// TestEvictionDropsRequest checks that a request is dropped if its connection is evicted after the
+// request has been read. The tests of internal/frontend check that nothing is read after that.
 func TestEvictionDropsRequest(t *testing.T) {
 	endpoint := testsupport.StartFakeServer(t, testsupport.RespondOK)
 	h := startNode(t, testConfig(t), endpoint.Addr)
@@ -110,25 +115,25 @@
 	ctx := tracker.ConnContext(context.Background(), conn)
 	text := clientRequest("merge", "00000000000000aa")
 	io.WriteString(client, text)
-	if _, err := io.ReadFull(conn, make([]byte, len(text))); err != nil { // the library has read it
+	if _, err := io.ReadFull(conn, make([]byte, len(text))); err != nil { // as net/http would have read it
 		t.Fatal(err)
 	}
 	_, second := connect(t, listener)
-	tracker.ConnContext(context.Background(), second) // evicts conn, which is not yet busy
+	tracker.ConnContext(context.Background(), second) // evicts conn, which is not marked busy yet
 	h.expectAborted(ctx)
 	if got := endpoint.Requests(); len(got) > 0 {
-		t.Errorf("endpoint got %q", got)
+		t.Errorf("the endpoint received %q, want no request", got)
 	}
 }
 
-// receivedEvent is the event of a usual request.
+// receivedEvent returns the event of an ordinary request.
 func receivedEvent(id string) policy.RequestReceived {
 	return policy.RequestReceived{RequestID: id, Timeout: time.Second, Units: 1, TenantGateways: 1}
 }
 
-// Guards a graceful shutdown: at first new connections are still served, with an announced
-// close, requests in flight are finished, an idle connection is closed, and then the node
-// ends with no error.
+// TestGracefulShutdown checks that a shutdown closes an idle connection, still serves new ones at
+// first, with a Connection: close header, answers the requests in flight, and ends without an
+// error.
 func TestGracefulShutdown(t *testing.T) {
 	release := make(chan struct{})
 	endpoint := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, body []byte) bool {
@@ -145,32 +150,32 @@
 	testsupport.Eventually(t, "the open request", func() bool { return len(endpoint.Requests()) == 2 })
 	h.stop()
 	if _, err := idle.reader.ReadByte(); err != io.EOF {
-		t.Errorf("idle connection: %v", err)
+		t.Errorf("idle connection: read error %v, want %v", err, io.EOF)
 	}
 	if resp, _ := h.dial().roundTrip(clientRequest("merge", "00000000000000cc")); resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("new connection: status %d, closing %v", resp.StatusCode, resp.Close)
+		t.Errorf("new connection: status %d, Connection: close %v, want %d, true", resp.StatusCode, resp.Close, http.StatusOK)
 	}
 	close(release)
 	if resp, _ := busy.readResponse(); resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("open request: status %d, closing %v", resp.StatusCode, resp.Close)
+		t.Errorf("open request: status %d, Connection: close %v, want %d, true", resp.StatusCode, resp.Close, http.StatusOK)
 	}
 	if err := testsupport.Receive(t, "the end of the node", h.done); err != nil {
-		t.Error(err)
+		t.Errorf("the node ended with the error %v", err)
 	}
 }
 
-// Guards the end of a graceful shutdown against connections on which nothing was ever sent:
-// they do not delay it by the five seconds that the library waits.
+// TestShutdownWithSilentConnection checks that a connection on which nothing was ever sent does not
+// delay the end of a shutdown by the five seconds for which net/http keeps it open.
 func TestShutdownWithSilentConnection(t *testing.T) {
 	h := startNode(t, testConfig(t), testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
 	c := h.dial()
 	testsupport.Eventually(t, "the silent connection", func() bool { return h.node.clients.Stats().Open > 0 })
 	h.stop()
-	asked := time.Now()
+	requestedAt := time.Now()
 	if _, err := c.reader.ReadByte(); err == nil {
-		t.Error("the connection says something")
+		t.Error("the silent connection has received a byte, want its end")
 	}
-	if took := time.Since(asked); took > 3*time.Second {
-		t.Errorf("closed after %v", took)
+	if took := time.Since(requestedAt); took > 3*time.Second {
+		t.Errorf("the silent connection was closed after %v, want at most %v", took, 3*time.Second)
 	}
 }
