--- a/internal/edge/handler.go
+++ b/internal/edge/handler.go
@@ -29,11 +29,11 @@
 		return
 	}
 	if reserved := bodyReservation(req.ContentLength); reserved > 0 {
-		if !n.memory.Reserve(reserved) {
+		if !n.memoryBudget.Reserve(reserved) {
 			respondOutOfMemory(w)
 			return
 		}
-		defer n.memory.Release(reserved)
+		defer n.memoryBudget.Release(reserved)
 	}
 	r, err := n.receiveHTTP(req)
 	if err != nil {
@@ -53,7 +53,7 @@
 	n.mu.Lock()
 	ready := !n.draining && n.pool.ServingEndpoints() > 0
 	n.mu.Unlock()
-	if n.clients.Draining() {
+	if n.clientConns.Draining() {
 		w.Header().Set("Connection", "close")
 	}
 	if !ready {
@@ -110,7 +110,7 @@
 	header := w.Header()
 	header["Content-Length"] = []string{strconv.Itoa(len(a.body))}
 	header["Content-Type"] = a.contentType // of the endpoint; nil: net/http must not guess one
-	if n.clients.Draining() {
+	if n.clientConns.Draining() {
 		header.Set("Connection", "close")
 	}
 	if a.retryAfter > 0 {
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -19,10 +19,10 @@
 	cfg := testConfig(t)
 	cfg.MaxDescriptors = 22 // 6 more than reservedDescriptors, half of them for clients
 	h := startNode(t, cfg, testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
-	if limit := h.node.clients.Stats().MaxConns; limit != 3 {
+	if limit := h.node.clientConns.Stats().MaxConns; limit != 3 {
 		t.Fatalf("the limit is %d client connections, want 3", limit)
 	}
-	testsupport.Eventually(t, "the close of earlier connections", func() bool { return h.node.clients.Stats().Open == 0 })
+	testsupport.Eventually(t, "the close of earlier connections", func() bool { return h.node.clientConns.Stats().Open == 0 })
 	var all []*client
 	for i := range 4 {
 		c := h.dial()
@@ -32,7 +32,7 @@
 		}
 		// The tracker notices that the connection is idle only after the client has its answer.
 		// The next connection waits for that, so that they become idle in order.
-		testsupport.Eventually(t, fmt.Sprintf("connection %d idle", i), func() bool { return h.node.clients.Stats().Idle == min(i+1, 3) })
+		testsupport.Eventually(t, fmt.Sprintf("connection %d idle", i), func() bool { return h.node.clientConns.Stats().Idle == min(i+1, 3) })
 	}
 	all[0].SetReadDeadline(time.Now().Add(testsupport.MaxWait / 4))
 	if _, err := all[0].reader.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -50,18 +50,18 @@
 // after a whole one but not after half of one. Connections that have not are evicted sooner.
 func TestPartialRequestDoesNotCountAsSent(t *testing.T) {
 	h := startNode(t, testConfig(t), testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
-	testsupport.Eventually(t, "the close of earlier connections", func() bool { return h.node.clients.Stats().Open == 0 })
+	testsupport.Eventually(t, "the close of earlier connections", func() bool { return h.node.clientConns.Stats().Open == 0 })
 	c := h.dial()
 	text := clientRequest("lookup", "00000000000000aa")
 	io.WriteString(c, text[:len(text)/2])
-	testsupport.Eventually(t, "the connection", func() bool { return h.node.clients.Stats().Open == 1 })
-	if count := h.node.clients.Stats().SentRequest; count != 0 {
+	testsupport.Eventually(t, "the connection", func() bool { return h.node.clientConns.Stats().Open == 1 })
+	if count := h.node.clientConns.Stats().SentRequest; count != 0 {
 		t.Errorf("%d connections count as having sent a request after half of one, want 0", count)
 	}
 	if resp, _ := c.roundTrip(text[len(text)/2:]); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d, want %d", resp.StatusCode, http.StatusOK)
 	}
-	if count := h.node.clients.Stats().SentRequest; count != 1 {
+	if count := h.node.clientConns.Stats().SentRequest; count != 1 {
 		t.Errorf("%d connections count as having sent a request after a served one, want 1", count)
 	}
 }
@@ -76,7 +76,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		clients := n.clients.Stats().MaxConns
+		clients := n.clientConns.Stats().MaxConns
 		if clients < 1 || n.pool.MaxConns() < 1 || clients+n.pool.MaxConns()+reservedDescriptors > descriptors {
 			t.Errorf("%d descriptors: %d for clients and %d for endpoints, want at least 1 each and %d left",
 				descriptors, clients, n.pool.MaxConns(), reservedDescriptors)
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -40,11 +40,11 @@
 	dial      func(ctx context.Context, network, addr string) (net.Conn, error) // to endpoints
 	workers   sync.WaitGroup                                                    // goroutines of the node, without those that serve clients
 
-	phases     shutdownPhases // of the graceful shutdown
-	parser     *frontend.Parser
-	memory     *frontend.MemoryBudget // for request bodies and read-ahead buffers
-	clients    *frontend.Tracker      // has a lock of its own
-	fatalError chan error             // receives the error that ends the node
+	phases       shutdownPhases // of the graceful shutdown
+	parser       *frontend.Parser
+	memoryBudget *frontend.MemoryBudget // for request bodies and read-ahead buffers
+	clientConns  *frontend.Tracker      // has a lock of its own
+	fatalError   chan error             // receives the error that ends the node
 
 	mu          sync.Mutex
 	gateway     policyGateway
@@ -76,19 +76,19 @@
 	}
 	memory := frontend.NewMemoryBudget(bodyMemoryBudget(cfg.MemoryBytes))
 	n := &Node{
-		cfg:        cfg,
-		log:        log,
-		startedAt:  startedAt,
-		epoch:      epoch,
-		dial:       (&net.Dialer{}).DialContext,
-		phases:     newShutdownPhases(longestDeadline(cfg.Settings)),
-		parser:     frontend.NewParser(cfg.Settings),
-		memory:     memory,
-		clients:    frontend.NewTracker(maxClientConns(cfg.MaxDescriptors), memory),
-		fatalError: make(chan error, 1),
-		gateway:    gateway,
-		requests:   map[string]*request{},
-		pool:       upstream.NewPool(cfg.Settings, maxUpstreamConns(cfg.MaxDescriptors)),
+		cfg:          cfg,
+		log:          log,
+		startedAt:    startedAt,
+		epoch:        epoch,
+		dial:         (&net.Dialer{}).DialContext,
+		phases:       newShutdownPhases(longestDeadline(cfg.Settings)),
+		parser:       frontend.NewParser(cfg.Settings),
+		memoryBudget: memory,
+		clientConns:  frontend.NewTracker(maxClientConns(cfg.MaxDescriptors), memory),
+		fatalError:   make(chan error, 1),
+		gateway:      gateway,
+		requests:     map[string]*request{},
+		pool:         upstream.NewPool(cfg.Settings, maxUpstreamConns(cfg.MaxDescriptors)),
 	}
 	n.ctx, n.stop = context.WithCancel(context.Background())
 	n.discovery = n.newDiscoveryClient(cfg.DiscoveryAddress)
--- a/internal/edge/readahead_test.go
+++ b/internal/edge/readahead_test.go
@@ -16,7 +16,7 @@
 func awaitReadAhead(h *harness, want int) {
 	h.t.Helper()
 	testsupport.Eventually(h.t, fmt.Sprintf("%d bytes read ahead", want), func() bool {
-		stats := h.node.clients.Stats()
+		stats := h.node.clientConns.Stats()
 		return stats.ReadAhead == 1 && stats.ReadAheadBytes >= want
 	})
 }
@@ -42,7 +42,7 @@
 	cfg := testConfig(t)
 	cfg.Settings.Plans[0].Rate, cfg.Settings.Plans[0].Burst = 1e5, 1e5
 	h := startNode(t, cfg, endpoint.Addr)
-	h.node.memory.Reserve(h.node.memory.Free() - memory)
+	h.node.memoryBudget.Reserve(h.node.memoryBudget.Free() - memory)
 	c := h.dial()
 	io.WriteString(c, clientRequest("lookup", numberedID(0)))
 	testsupport.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
@@ -53,7 +53,7 @@
 		wrote <- err
 	}()
 	awaitReadAhead(h, int(min(memory, frontend.MaxReadAheadBytes)))
-	if left := h.node.memory.Free(); left < 0 || left > max(memory-frontend.MaxReadAheadBytes+2*frontend.ReadAheadChunkBytes, 0) {
+	if left := h.node.memoryBudget.Free(); left < 0 || left > max(memory-frontend.MaxReadAheadBytes+2*frontend.ReadAheadChunkBytes, 0) {
 		t.Errorf("%d of %d bytes are free while %d are read ahead, want at least 0 and at most two chunks of %d more than needed",
 			left, memory, min(memory, frontend.MaxReadAheadBytes), frontend.ReadAheadChunkBytes)
 	}
@@ -74,7 +74,7 @@
 		t.Errorf("the endpoint received %d requests, want %d", got, 1+count)
 	}
 	c.Close()
-	testsupport.Eventually(t, "the release of the memory", func() bool { return h.node.memory.Free() == memory })
+	testsupport.Eventually(t, "the release of the memory", func() bool { return h.node.memoryBudget.Free() == memory })
 }
 
 // numberedRequests returns the text of requests 1 to count, which has at least minBytes. Their IDs
@@ -110,7 +110,7 @@
 	close(release)
 	c.readResponse()
 	h.stop()
-	testsupport.Eventually(t, "the start of draining", h.node.clients.Draining)
+	testsupport.Eventually(t, "the start of draining", h.node.clientConns.Draining)
 	if resp, _ := c.roundTrip(next[40:]); resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("status %d, Connection: close %v, want %d, true", resp.StatusCode, resp.Close, http.StatusOK)
 	}
--- a/internal/edge/shutdown.go
+++ b/internal/edge/shutdown.go
@@ -59,7 +59,7 @@
 func (n *Node) serve(ctx context.Context, ln *net.TCPListener) error {
 	server := frontend.NewServer(ln, frontend.ServerConfig{
 		Handler:         n,
-		Tracker:         n.clients,
+		Tracker:         n.clientConns,
 		LongestDeadline: longestDeadline(n.cfg.Settings),
 		Log:             n.log,
 	})
--- a/internal/edge/shutdown_test.go
+++ b/internal/edge/shutdown_test.go
@@ -65,7 +65,7 @@
 	silent, half, body := h.dial(), h.dial(), h.dial() // sent before the shutdown: nothing, half a head, half a body
 	io.WriteString(half, text[:40])
 	io.WriteString(body, text[:len(text)-5])
-	testsupport.Eventually(t, "three open connections", func() bool { return h.node.clients.Stats().Open >= 3 })
+	testsupport.Eventually(t, "three open connections", func() bool { return h.node.clientConns.Stats().Open >= 3 })
 	h.stop()
 	testsupport.Eventually(t, "the close of the listener", func() bool {
 		c, err := net.Dial("tcp", h.addr)
@@ -92,13 +92,13 @@
 	h.node.phases.readDuration, h.node.phases.answerTimeout = testsupport.MaxWait, testsupport.MaxWait
 	c := h.dial()
 	c.roundTrip(clientRequest("lookup", "00000000000000aa"))
-	idle := func() int { return h.node.clients.Stats().Idle }
+	idle := func() int { return h.node.clientConns.Stats().Idle }
 	testsupport.Eventually(t, "the idle connection", func() bool { return idle() == 1 })
 	text := clientRequest("lookup", "00000000000000bb")
 	io.WriteString(c, text[:1])
 	testsupport.Eventually(t, "the first byte", func() bool { return idle() == 0 })
 	h.stop()
-	testsupport.Eventually(t, "the start of draining", h.node.clients.Draining)
+	testsupport.Eventually(t, "the start of draining", h.node.clientConns.Draining)
 	if resp, _ := c.roundTrip(text[1:]); resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("status %d, Connection: close %v, want %d, true", resp.StatusCode, resp.Close, http.StatusOK)
 	}
@@ -169,7 +169,7 @@
 func TestShutdownWithSilentConnection(t *testing.T) {
 	h := startNode(t, testConfig(t), testsupport.StartFakeServer(t, testsupport.RespondOK).Addr)
 	c := h.dial()
-	testsupport.Eventually(t, "the silent connection", func() bool { return h.node.clients.Stats().Open > 0 })
+	testsupport.Eventually(t, "the silent connection", func() bool { return h.node.clientConns.Stats().Open > 0 })
 	h.stop()
 	requestedAt := time.Now()
 	if _, err := c.reader.ReadByte(); err == nil {
