--- a/cmd/edgenode/main.go
+++ b/cmd/edgenode/main.go
@@ -72,7 +72,7 @@
 		Seed:             file.Seed,
 		MaxDescriptors:   file.ProcessLimits.Sockets,
 		MemoryBytes:      file.ProcessLimits.MemoryBytes(),
-		KnownEndpoints:   known,
+		CachedList:       known,
 		Settings:         file.Settings,
 	}, file.ProcessLimits, nil
 }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -20,12 +20,12 @@
 // Config configures an edge node.
 type Config struct {
 	ListenAddress    string // host and port on which clients connect
-	DiscoveryAddress string // empty: KnownEndpoints stay in use
+	DiscoveryAddress string // empty: CachedList stays in use
 	CounterAddress   string // empty: there is no counter
 	Seed             uint64 // seeds the random numbers of this process
 	MaxDescriptors   int    // file descriptors that the process may have open; 0: not configured
 	MemoryBytes      int64  // memory that the process may use; 0: not configured
-	KnownEndpoints   discovery.List
+	CachedList       discovery.List
 	Settings         *config.Settings
 }
 
@@ -101,7 +101,7 @@
 // start passes the known endpoints to the policy and starts the goroutines that call discovery
 // and evict idle connections.
 func (n *Node) start() {
-	n.applyList(n.cfg.KnownEndpoints, policy.CachedUpdate)
+	n.applyList(n.cfg.CachedList, policy.CachedUpdate)
 	if n.cfg.DiscoveryAddress != "" {
 		n.workers.Go(func() { n.discovery.Run(n.ctx) })
 	}
