--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -30,7 +30,7 @@
 	cancelDial  context.CancelFunc // nil: no connection is dialed
 	ended       bool
 	neverRan    bool    // the outcome proves that the endpoint did not run the request
-	actualUnits float64 // quota units that the request took by the endpoint's response; 0: not reported
+	actualUnits float64 // quota units that the request took, as the endpoint reports; 0: not reported
 	loadReport  policy.LoadReport
 }
 
@@ -197,7 +197,7 @@
 	return true
 }
 
-// endUnwritten ends an attempt whose request was not written to any connection.
+// endUnwritten ends an attempt that was not written to any connection.
 func (n *Node) endUnwritten(a *attempt) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -234,8 +234,8 @@
 	n.endAttempt(a, response.Outcome)
 }
 
-// plausibleUnits reports whether an endpoint's figure for the quota units of a request is
-// within the largest that the settings allow.
+// plausibleUnits reports whether the quota units that an endpoint reports for a request are
+// within the configured maximum.
 func (n *Node) plausibleUnits(units float64) bool {
 	maxUnits := n.cfg.Settings.Accounting.MaxRequestUnits
 	return maxUnits <= 0 || units <= maxUnits
--- a/internal/edge/handler.go
+++ b/internal/edge/handler.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// readyPath is the path of the readiness checks that the proxy in front of the nodes and the
-	// deployment make.
+	// readyPath is the path of readiness checks, which come from the proxy in front of the nodes
+	// and from the deployment.
 	readyPath = "/-/ready"
 	// maxUnreservedBodyBytes is the longest body that does not count against the memory budget.
 	// Clients that declare long bodies and never send them exhaust the budget, but do not keep
@@ -61,7 +61,7 @@
 	}
 }
 
-// bodyReservation returns how many bytes of the memory budget a body of a length needs.
+// bodyReservation returns how many bytes of the memory budget a body of the given length takes.
 func bodyReservation(length int64) int64 {
 	if length <= maxUnreservedBodyBytes || length > frontend.MaxBodyBytes { // bodies over MaxBodyBytes are not read
 		return 0
@@ -109,7 +109,7 @@
 func (n *Node) respond(w http.ResponseWriter, a answer) {
 	header := w.Header()
 	header["Content-Length"] = []string{strconv.Itoa(len(a.body))}
-	header["Content-Type"] = a.contentType // of the endpoint; nil: net/http must not guess one
+	header["Content-Type"] = a.contentType // from the endpoint; nil keeps net/http from guessing one
 	if n.clientConns.Draining() {
 		header.Set("Connection", "close")
 	}
--- a/internal/edge/harness_test.go
+++ b/internal/edge/harness_test.go
@@ -18,6 +18,7 @@
 	"swiftpitch/internal/testsupport"
 )
 
+// testSettings is the settings object of the nodes in tests.
 const testSettings = `{
  "classes": [
   {"name":"lookup","aim":2000000000,"deadline":4000000000,"effect":"repeatable","group":"all","value":2},
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -19,13 +19,13 @@
 
 // Config configures an edge node.
 type Config struct {
-	ListenAddress    string // host and port on which clients connect
-	DiscoveryAddress string // empty: CachedList stays in use
-	CounterAddress   string // empty: there is no counter
-	Seed             uint64 // seeds the random numbers of this process
-	MaxDescriptors   int    // file descriptors that the process may have open; 0: not configured
-	MemoryBytes      int64  // memory that the process may use; 0: not configured
-	CachedList       discovery.List
+	ListenAddress    string         // host and port on which clients connect
+	DiscoveryAddress string         // empty: CachedList stays in use
+	CounterAddress   string         // empty: there is no counter
+	Seed             uint64         // seeds the random numbers of this process
+	MaxDescriptors   int            // file descriptors that the process may have open; 0: not configured
+	MemoryBytes      int64          // memory that the process may use; 0: not configured
+	CachedList       discovery.List // the endpoints known before discovery responds
 	Settings         *config.Settings
 }
 
@@ -48,10 +48,10 @@
 
 	mu          sync.Mutex
 	gateway     policyGateway
-	events      []policy.Event  // to be dispatched, oldest first
-	actions     []policy.Action // returned for the current event; reused
-	dispatching bool            // dispatch is running
-	requests    map[string]*request
+	events      []policy.Event      // to be dispatched, oldest first
+	actions     []policy.Action     // returned for the current event; reused
+	dispatching bool                // dispatch is running
+	requests    map[string]*request // the open ones by ID
 	pool        *upstream.Pool
 	discovery   *discovery.Client
 	counter     *counterclient.Client // nil: not configured
--- a/internal/edge/readahead_test.go
+++ b/internal/edge/readahead_test.go
@@ -54,8 +54,8 @@
 	}()
 	awaitReadAhead(h, int(min(memory, frontend.MaxReadAheadBytes)))
 	if left := h.node.memoryBudget.Free(); left < 0 || left > max(memory-frontend.MaxReadAheadBytes+2*frontend.ReadAheadChunkBytes, 0) {
-		t.Errorf("%d of %d bytes are free while %d are read ahead, want at least 0 and at most two chunks of %d more than needed",
-			left, memory, min(memory, frontend.MaxReadAheadBytes), frontend.ReadAheadChunkBytes)
+		t.Errorf("%d bytes of the memory budget are free, want 0 to %d",
+			left, max(memory-frontend.MaxReadAheadBytes+2*frontend.ReadAheadChunkBytes, 0))
 	}
 	close(release)
 	if resp, body := c.readResponse(); resp.StatusCode != http.StatusOK || body != numberedID(0) {
--- a/internal/edge/shutdown.go
+++ b/internal/edge/shutdown.go
@@ -17,9 +17,9 @@
 	// received more than 0.7 s after SIGTERM could be cut off by SIGKILL before its deadline.
 	acceptDuration = 500 * time.Millisecond
 	readDuration   = 150 * time.Millisecond
-	// SIGKILL follows SIGTERM no sooner than after the longest deadline of all classes, counted as
-	// at most maxCountedDeadline, plus killGrace. Requests that are open killMargin before that
-	// get their final answer; writeDuration is the time for writing these answers.
+	// The earliest SIGKILL comes min(longest deadline, maxCountedDeadline) + killGrace after
+	// SIGTERM. Requests still open killMargin before that get their final answer; writeDuration
+	// is the time for writing it.
 	maxCountedDeadline = 3 * time.Second
 	killGrace          = 700 * time.Millisecond
 	killMargin         = 100 * time.Millisecond
@@ -45,8 +45,8 @@
 }
 
 // Run serves clients until ctx is done and then shuts down gracefully: it answers the requests
-// that it has received. It returns nil after a graceful shutdown, even if connections
-// had to be cut off.
+// that it has received. It returns nil after a graceful shutdown, even if connections had to be
+// cut off.
 func (n *Node) Run(ctx context.Context) error {
 	ln, err := net.Listen("tcp", n.cfg.ListenAddress)
 	if err != nil {
