--- a/internal/edge/counter_test.go
+++ b/internal/edge/counter_test.go
@@ -160,9 +160,8 @@
 	}
 }
 
-// TestUnresponsiveCounterIsRedialed checks that a connection whose responses stay away for too
-// long, as after a failure of the counter's machine, is closed, and that the next calls use a
-// new one.
+// TestUnresponsiveCounterIsRedialed checks that a connection whose responses are long overdue, as
+// after a failure of the counter's machine, is closed, and that the next calls use a new one.
 func TestUnresponsiveCounterIsRedialed(t *testing.T) {
 	ln := testsupport.Listen(t)
 	first := true
--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -201,7 +201,7 @@
 // overload it: their first calls are spread over the jitter window and ask for changes instead of
 // the full list. After a failed call a node pauses so long that the calls of the whole fleet stay
 // within the service's capacity, but short enough to learn of a change before
-// NotificationDeadline.
+// discovery.NotificationDeadline.
 func TestPollsAreSpreadAcrossFleet(t *testing.T) {
 	uris := make(chan string, 1024)
 	service := testsupport.StartFakeServer(t, func(c net.Conn, req *http.Request, _ []byte) bool {
@@ -317,7 +317,7 @@
 
 // TestUnresponsivePollsAreStaggered checks a large fleet that polls one discovery service. Calls
 // that get no response from the same moment on time out at different times, and each node makes
-// the next call early enough to learn of a change before NotificationDeadline.
+// the next call early enough to learn of a change before discovery.NotificationDeadline.
 func TestUnresponsivePollsAreStaggered(t *testing.T) {
 	const fleet = 12
 	waits := map[int]bool{}
--- a/internal/edge/readahead_test.go
+++ b/internal/edge/readahead_test.go
@@ -25,7 +25,7 @@
 // first one is in flight are all served, in order. The node reads them ahead up to
 // MaxReadAheadBytes and to what the memory budget allows.
 func TestReadAheadBytesAreServedInOrder(t *testing.T) {
-	for name, memory := range map[string]int64{"memory for all": 1 << 20, "little memory": 2 * frontend.ReadAheadChunkBytes} {
+	for name, memory := range map[string]int64{"enough memory": 1 << 20, "little memory": 2 * frontend.ReadAheadChunkBytes} {
 		t.Run(name, func(t *testing.T) { testBytesReadAhead(t, memory) })
 	}
 }
