--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -80,7 +80,7 @@
 	})
 	cfg := testConfig(t)
 	cfg.CounterAddress, cfg.Settings.Accounting.CounterEnabled = counter.Addr, true
-	cfg.Settings.Accounting.CounterTimeout = testsupport.MaxWait // with more than half of its timeout a request would not wait
+	cfg.Settings.Accounting.CounterTimeout = testsupport.MaxWait // below half of the request's timeout, or it would not wait
 	cfg.Settings.Classes[0].Deadline = 3 * testsupport.MaxWait
 	plan := &cfg.Settings.Plans[0]
 	plan.Rate, plan.Burst, plan.OverQuotaCost = 2, 4, 1 // little enough that the shared bucket admits requests
--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -218,11 +218,11 @@
 		recorder := &pauseRecorder{t: t, node: n, failures: failures, pauseEndedAt: time.Now()}
 		n.discovery.Options.Pause = recorder.pause
 		n.discovery.Run(n.ctx)
-		waits := recorder.pauses
-		if len(waits) != failures+1 || waits[0] < 0 || waits[0] >= window {
-			t.Fatalf("pauses %v, want %d, the first shorter than %v", waits, failures+1, window)
+		pauses := recorder.pauses
+		if len(pauses) != failures+1 || pauses[0] < 0 || pauses[0] >= window {
+			t.Fatalf("pauses %v, want %d, the first shorter than %v", pauses, failures+1, window)
 		}
-		quarters[waits[0]*4/window]++
+		quarters[pauses[0]*4/window]++
 	}
 	for range fleet * failures {
 		if uri := <-uris; !strings.HasPrefix(uri, "/api/targets?index=41&") {
