--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -22,7 +22,7 @@
 // call describes one call to the discovery service.
 type call struct {
 	fullList     bool          // asks for the full list, else for the changes after index
-	index        int64         // version of the known list
+	index        int64         // version of the list that the node has
 	longPollWait time.Duration // how long the service may hold the call while nothing changes
 	timeout      time.Duration // time after which the call fails
 }
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -16,8 +16,9 @@
 	// be notified in time, however the calls were spread.
 	callCost = 13 * time.Millisecond
 	// shortQueueLimit is how long a call waits in the service's queue before it is rejected.
-	// Without a limit the service spends its time on calls whose callers have given up, and
-	// never gets to the others.
+	// Without a limit, a service whose calls wait longer than their timeout processes only
+	// calls whose callers have given up. The nodes must therefore spread their calls so that
+	// the queue stays short under either limit.
 	shortQueueLimit = 2 * time.Second
 	longQueueLimit  = time.Hour // in effect no limit
 	// maxRenewalGap is the longest time from a response to the next call that renews a watch.
@@ -100,8 +101,9 @@
 	})
 }
 
-// hold answers a call at once if the list has changed, else at the next change or at the end of
-// the long-poll wait.
+// hold answers a call at once if it asks for the full list, if the list has changed after its
+// index, or if its long-poll wait is a millisecond at most. Otherwise it answers at the next
+// change or at the end of the long-poll wait.
 func (s *fakeService) hold(c *fakeCall) {
 	if c.fullList || s.generation > c.index || c.longPollWait <= time.Millisecond {
 		s.respond(c)
@@ -205,8 +207,8 @@
 	nodes                  []*fakeNode
 }
 
-// newFleet starts a fleet whose nodes have version 1 of the list if known is true, else no list.
-func newFleet(mode string, queueLimit time.Duration, known bool, state serviceState) *fleet {
+// newFleet starts a fleet whose nodes have a cached list of version 1 if cached is true, else none.
+func newFleet(mode string, queueLimit time.Duration, cached bool, state serviceState) *fleet {
 	f := &fleet{}
 	f.oldService = &fakeService{Clock: &f.Clock, address: "old", queueLimit: queueLimit, generation: 1, state: state}
 	f.newService = &fakeService{Clock: &f.Clock, address: "new", queueLimit: queueLimit, generation: 1}
@@ -221,7 +223,7 @@
 		EndpointRules: config.EndpointRules{DrainGrace: 2 * time.Second, SubscriptionTimeout: 10 * time.Second},
 	}
 	var list List
-	if known {
+	if cached {
 		list = List{Generation: 1, Instances: []Instance{{ID: "s-0", Lifecycle: Serving}}}
 	}
 	for seed := range uint64(fleetSize) {
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -105,14 +105,14 @@
 
 // Guards against a slow start of a fleet whose processes are restarted together. Nine in ten
 // nodes are ready within 10 s, with or without a cached list, even if all of them poll the same
-// service. If discovery is down at the start, a node without a cached list is ready within
-// NotificationDeadline after discovery is back.
+// service. If discovery is down at the start, they are ready then or NotificationDeadline after
+// discovery is back, whichever is later. By that time every node has a list from discovery.
 func TestRestartedFleetBecomesReady(t *testing.T) {
 	for _, variant := range discoveryVariants {
-		for _, known := range []bool{false, true} {
+		for _, cached := range []bool{false, true} {
 			for _, down := range []time.Duration{0, 3 * time.Second, 20 * time.Second} {
-				t.Run(fmt.Sprintf("%s/cached list %v/down %v", variant.name, known, down), func(t *testing.T) {
-					checkRestart(t, variant.mode, variant.queueLimit, known, down)
+				t.Run(fmt.Sprintf("%s/cached list %v/down %v", variant.name, cached, down), func(t *testing.T) {
+					checkRestart(t, variant.mode, variant.queueLimit, cached, down)
 				})
 			}
 		}
@@ -121,7 +121,7 @@
 
 // checkRestart starts a fleet whose discovery is down for the given time, and checks that enough
 // nodes become ready.
-func checkRestart(t *testing.T, mode string, queueLimit time.Duration, known bool, down time.Duration) {
+func checkRestart(t *testing.T, mode string, queueLimit time.Duration, cached bool, down time.Duration) {
 	t.Helper()
 	const (
 		readyWithin = 10 * time.Second
@@ -131,24 +131,24 @@
 	if down > 0 {
 		state = serviceUnresponsive
 	}
-	f := newFleet(mode, queueLimit, known, state)
+	f := newFleet(mode, queueLimit, cached, state)
 	f.Run(down)
 	f.oldService.setState(serviceUp)
 	f.Run(max(readyWithin-down, NotificationDeadline))
-	answered := 0
+	withList := 0
 	ready := 0
 	for _, node := range f.nodes {
 		if node.hasList {
-			answered++
+			withList++
 		}
-		if node.hasList || known { // a node with a cached list is ready at once
+		if node.hasList || cached { // a node with a cached list is ready at once
 			ready++
 		}
 	}
 	if float64(ready) < readyShare*fleetSize {
 		t.Errorf("%d of %d nodes are ready, want a share of %v at least", ready, fleetSize, readyShare)
 	}
-	if answered < fleetSize {
-		t.Errorf("%d of %d nodes have received a list from discovery, want all", answered, fleetSize)
+	if withList < fleetSize {
+		t.Errorf("%d of %d nodes have received a list from discovery, want all", withList, fleetSize)
 	}
 }
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -38,12 +38,13 @@
 // The durations of polling, where discovery is one service for the whole fleet. It processes
 // calls one at a time, including calls whose callers have given up, and rejects calls that
 // have queued too long. Nodes that start, change address or fail together spread their first
-// calls over a jitter window. After that each node calls once per poll interval, which varies
-// little, so that the calls stay spread and a node retries soon enough however often it
-// failed. A service that can answer the whole fleet within two thirds of NotificationDeadline
-// keeps no standing queue.
+// calls over a jitter window. After that, while its calls fail, each node calls once per poll
+// interval, which varies little, so that the calls stay spread and a node retries soon enough
+// however often it failed. A service that can answer the whole fleet within two thirds of
+// NotificationDeadline keeps no standing queue.
 const (
-	// jitterWindowPerNode is the mean time between the first calls of two nodes.
+	// jitterWindowPerNode is the mean time between successive first calls, unless
+	// MaxJitterWindow limits the jitter window.
 	jitterWindowPerNode = 80 * time.Millisecond
 	// MaxJitterWindow limits the jitter window: a node counts as notified 4 s after SIGHUP,
 	// so its first call to a new address must come earlier.
@@ -61,8 +62,9 @@
 	PollResponseAllowance = 1800 * time.Millisecond
 	// pollTimeout limits a call that is not held. It is longer than PollResponseAllowance:
 	// early in a jitter window there is time to wait in a longer queue, and an earlier
-	// timeout would save nothing, as the service processes the call anyway. It does not
-	// lengthen the poll interval.
+	// timeout would save nothing, as the service processes the call anyway. It is shorter than
+	// every poll interval of a fleet of ten nodes or more. The interval of a smaller fleet can
+	// be shorter than pollTimeout; a node then calls again as soon as a call has timed out.
 	pollTimeout = 2500 * time.Millisecond
 
 	// pollLongPollWait is the longest time for which a call is held. Each call is held for a
