--- a/cmd/edgenode/filelimit_test.go
+++ b/cmd/edgenode/filelimit_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	fileLimit         = 64 // file descriptors that the process may open
+	fileLimit         = 64 // file descriptors that the process may have open
 	endpointFiles     = 24 // of these for connections to endpoints
 	clientFiles       = 24 // of these for connections of clients
 	idleClients       = 150
--- a/cmd/edgenode/main.go
+++ b/cmd/edgenode/main.go
@@ -59,9 +59,9 @@
 	if err != nil {
 		return edge.Config{}, config.ProcessLimits{}, err
 	}
-	var known discovery.List
+	var cachedList discovery.List
 	if len(file.CachedList) > 0 {
-		if err := json.Unmarshal(file.CachedList, &known); err != nil {
+		if err := json.Unmarshal(file.CachedList, &cachedList); err != nil {
 			err = &config.KeyError{Key: "known", Err: err}
 			return edge.Config{}, config.ProcessLimits{}, fmt.Errorf("configuration: %w", err)
 		}
@@ -73,7 +73,7 @@
 		Seed:             file.Seed,
 		MaxDescriptors:   file.ProcessLimits.Sockets,
 		MemoryBytes:      file.ProcessLimits.MemoryBytes(),
-		KnownEndpoints:   known,
+		CachedList:       cachedList,
 		Settings:         file.Settings,
 	}, file.ProcessLimits, nil
 }
@@ -97,9 +97,10 @@
 	}
 }
 
-// memoryLimitFraction is the fraction of the process's memory limit that the Go runtime is told
-// to stay below. Memory use above half of the limit adds to the cost of the node, and the
-// kernel's memory and the stacks come on top of the heap.
+// memoryLimitFraction is the fraction of the process's memory limit that is set as the soft
+// memory limit of the Go runtime. Memory use above half of the process's limit adds to the cost
+// of the node. The runtime's limit covers the memory that the runtime manages, such as the heap
+// and the goroutine stacks; memory that the kernel holds for the process comes on top of it.
 const memoryLimitFraction = 0.4
 
 // applyRuntimeLimits sets the limits of the Go runtime from the limits of the process. The
--- a/cmd/edgenode/main_test.go
+++ b/cmd/edgenode/main_test.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Seed != 0x8c1f30d27a5be964 || limits.Sockets != 1024 || len(cfg.KnownEndpoints.Instances) != 1 ||
+	if cfg.Seed != 0x8c1f30d27a5be964 || limits.Sockets != 1024 || len(cfg.CachedList.Instances) != 1 ||
 		cfg.Settings.Gateways != 2 || cfg.Settings.Classes[0].Name != "c" {
 		t.Errorf("configuration %+v, limits %+v, want the values of validConfig", cfg, limits)
 	}
--- a/internal/edge/connreuse_test.go
+++ b/internal/edge/connreuse_test.go
@@ -73,7 +73,7 @@
 func TestLateDuplicateResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := testConfig(t)
-		cfg.KnownEndpoints.Instances = []discovery.Instance{{ID: "s-0", HostPort: "endpoint:1", Zone: "a", Lifecycle: "SERVING", Weight: 1}}
+		cfg.CachedList.Instances = []discovery.Instance{{ID: "s-0", HostPort: "endpoint:1", Zone: "a", Lifecycle: "SERVING", Weight: 1}}
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/edge/discovery.go
+++ b/internal/edge/discovery.go
@@ -11,7 +11,7 @@
 		Lock:       &n.mu,
 		Timing:     discovery.NewTiming(n.cfg.Settings),
 		Seed:       n.cfg.Seed,
-		CachedList: n.cfg.KnownEndpoints,
+		CachedList: n.cfg.CachedList,
 		OnList:     n.applyList,
 		Log:        n.log,
 	})
--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -43,7 +43,7 @@
 	cfg.Settings.Gateways = gateways
 	cfg.Settings.DiscoveryMode = "ask"
 	cfg.Settings.EndpointRules.SubscriptionTimeout = 10 * time.Second
-	cfg.KnownEndpoints.Instances = oneServingInstance()
+	cfg.CachedList.Instances = oneServingInstance()
 	return cfg
 }
 
@@ -208,7 +208,7 @@
 	quarters := [4]int{}                     // of the window, in which nodes make their first call
 	for seed := range uint64(fleet) {
 		cfg := newPollingConfig(t, service.Addr, seed, fleet)
-		cfg.KnownEndpoints.Generation = 41
+		cfg.CachedList.Generation = 41
 		n := newUnstartedNode(t, cfg)
 		recorder := &pauseRecorder{t: t, node: n, failures: failures, pauseEndedAt: time.Now()}
 		n.discovery.Options.Pause = recorder.pause
@@ -245,7 +245,7 @@
 		cfg := testConfig(t)
 		cfg.DiscoveryAddress = service.Addr
 		cfg.Settings.EndpointRules.DrainGrace = grace
-		cfg.KnownEndpoints.Instances = []discovery.Instance{{ID: "s-0", Lifecycle: discovery.Serving}}
+		cfg.CachedList.Instances = []discovery.Instance{{ID: "s-0", Lifecycle: discovery.Serving}}
 		n := newUnstartedNode(t, cfg)
 		const failures = 8
 		waits := 0
@@ -291,8 +291,8 @@
 	})
 	cfg := testConfig(t)
 	cfg.DiscoveryAddress = service.Addr
-	cfg.KnownEndpoints.Generation = 7
-	cfg.KnownEndpoints.Instances = oneServingInstance()
+	cfg.CachedList.Generation = 7
+	cfg.CachedList.Instances = oneServingInstance()
 	n := newUnstartedNode(t, cfg)
 	n.discovery.Options.Timing.LongPollWait = 10 * time.Millisecond
 	n.discovery.Options.Timing.ResponseMargin = 10 * time.Millisecond
--- a/internal/edge/harness_test.go
+++ b/internal/edge/harness_test.go
@@ -54,7 +54,7 @@
 func startNode(t *testing.T, cfg Config, addrs ...string) *harness {
 	t.Helper()
 	for i, addr := range addrs {
-		cfg.KnownEndpoints.Instances = append(cfg.KnownEndpoints.Instances,
+		cfg.CachedList.Instances = append(cfg.CachedList.Instances,
 			discovery.Instance{ID: fmt.Sprintf("s-%d", i), HostPort: addr, Zone: "a", Lifecycle: "SERVING", Weight: 1})
 	}
 	node, err := New(cfg, slog.New(slog.DiscardHandler))
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -20,12 +20,12 @@
 // Config is what an edge node is started with.
 type Config struct {
 	ListenAddress    string // address for clients
-	DiscoveryAddress string // address of discovery; empty: the known list stays
+	DiscoveryAddress string // address of discovery; empty: the cached list stays
 	CounterAddress   string // address of the counter; empty: none
 	Seed             uint64 // of this incarnation's random numbers
 	MaxDescriptors   int    // descriptors that the process may hold; 0: not configured
 	MemoryBytes      int64  // bytes that it may take; 0: not configured
-	KnownEndpoints   discovery.List
+	CachedList       discovery.List
 	Settings         *config.Settings
 }
 
@@ -101,7 +101,7 @@
 
 // start begins to follow discovery and to execute the policy's actions.
 func (n *Node) start() {
-	n.applyList(n.cfg.KnownEndpoints, policy.CachedUpdate)
+	n.applyList(n.cfg.CachedList, policy.CachedUpdate)
 	if n.cfg.DiscoveryAddress != "" {
 		n.workers.Go(func() { n.discovery.Run(n.ctx) })
 	}
