--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -56,7 +56,9 @@
 
 // Load reads and validates the configuration file at path. Addresses that the file leaves out
 // are taken from the environment. If a key is missing or invalid, the returned error wraps a
-// [*KeyError]. An empty path is an error of [FileVariable], which was not set.
+// [*KeyError]; if the text is malformed or a value outside the settings has the wrong JSON type,
+// it wraps the error of [encoding/json]. An empty path is an error of [FileVariable], which was
+// not set.
 func Load(path string) (*File, error) {
 	file, err := load(path)
 	if err != nil {
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -30,7 +30,8 @@
 	return path
 }
 
-// clearEnvironment unsets the addresses in the environment.
+// clearEnvironment empties the environment variables of the addresses, so that no address comes
+// from the environment.
 func clearEnvironment(t *testing.T) {
 	t.Helper()
 	t.Setenv(config.ListenVariable, "")
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -61,8 +61,8 @@
 	Rate               float64 `json:"refill"`
 }
 
-// EndpointRules describes how endpoints drain, start slowly and react to overload, and how long
-// a gateway may be without a subscription to discovery.
+// EndpointRules describes how endpoints drain, start slowly and fail under overload, and after
+// how long without a subscription to discovery a gateway counts as notified of all changes.
 type EndpointRules struct {
 	SubscriptionTimeout time.Duration `json:"askEvery"`
 	SlowStartCapacity   float64       `json:"coldFrom"`
--- a/internal/counterclient/connection.go
+++ b/internal/counterclient/connection.go
@@ -14,7 +14,7 @@
 	// unresponsiveTimeout is how long a response may be outstanding before the connection is
 	// considered dead. It also limits a write.
 	unresponsiveTimeout = 500 * time.Millisecond
-	// idleTimeout is how long a connection without calls stays open. It is shorter than the
+	// idleTimeout is how long a connection without new calls stays open. It is shorter than the
 	// counter service's, so that no call is written to a connection that the service closes.
 	idleTimeout = 4 * time.Second
 	// drainTimeout is how long a connection to a previous address may deliver responses.
--- a/internal/counterclient/response.go
+++ b/internal/counterclient/response.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxResponseBytes limits a response including its header, in bytes.
+	// maxResponseBytes limits a response including its head, in bytes.
 	maxResponseBytes = 4 << 10
 	// maxInterimResponses is how many 1xx responses may precede the response to a call.
 	maxInterimResponses = 8
@@ -54,7 +54,7 @@
 	return response{outcome: policy.TimedOut, reusable: !head.Close}
 }
 
-// readHead reads the header of the next final response. Interim (1xx) responses before it are
+// readHead reads the head of the next final response. Interim (1xx) responses before it are
 // skipped, as they do not complete a call.
 func readHead(reader *bufio.Reader) (*http.Response, error) {
 	head, err := http.ReadResponse(reader, nil)
--- a/internal/knownfailures/check.go
+++ b/internal/knownfailures/check.go
@@ -10,7 +10,7 @@
 
 // checkRun reads the events of a test run and writes the output of packages and of failed tests,
 // and the result of each listed test, to out. It returns the reasons why the run failed, or nil
-// if nothing but listed tests failed.
+// if nothing but listed tests failed and each listed test has run.
 func checkRun(list []knownFailure, events io.Reader, out io.Writer) error {
 	run := newTestRun(out)
 	run.read(events)
@@ -20,7 +20,7 @@
 			errs = append(errs, err)
 		}
 	}
-	// Maps are iterated in random order; sorting makes the output the same in every run.
+	// Maps are iterated in random order; sorting gives the errors the same order in every run.
 	slices.SortFunc(errs, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
 	return errors.Join(errs...)
 }
--- a/internal/knownfailures/main.go
+++ b/internal/knownfailures/main.go
@@ -3,7 +3,8 @@
 // tests. Only the tests listed in the file KNOWN-RED.txt of the current directory may fail.
 //
 // Each line of the file is "TestName: cause: issue", with three lines at most. A missing or empty
-// file lists no tests. The exit status is 0 if nothing but listed tests failed, else 1.
+// file lists no tests. The exit status is 0 if nothing but listed tests failed and each listed
+// test has run, else 1.
 package main
 
 import (
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -48,8 +48,8 @@
 func (p *Pool) ServingEndpoints() int { return p.serving }
 
 // AcceptsAttempts reports whether an attempt may start at an endpoint: the endpoint is
-// serving, or its drain grace period is not over. The grace period also applies to
-// endpoints that were removed.
+// serving, or its drain grace is not over. The drain grace also applies to endpoints that
+// were removed.
 func (p *Pool) AcceptsAttempts(endpoint *Endpoint, now time.Time) bool {
 	return endpoint.IsServing() || now.Sub(endpoint.drainingSince) < p.drainGrace
 }
@@ -92,7 +92,7 @@
 	delete(p.endpoints, id)
 }
 
-// drain starts an endpoint's drain grace period. A repeated report does not restart it.
+// drain starts an endpoint's drain grace. A repeated report does not restart it.
 func (p *Pool) drain(endpoint *Endpoint, now time.Time) {
 	if endpoint.IsServing() {
 		endpoint.drainingSince = now
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -30,7 +30,7 @@
 		{"response followed by another", testsupport.OKResponse + testsupport.OKResponse, policy.Succeeded, false},
 		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.ServerError, true},
 		{"503 with X-Never-Ran", "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Overloaded, true},
-		{"504 with X-Never-Ran", "HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Overloaded, true},
+		{"504 with X-Never-Ran, deadline passed before it ran", "HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Overloaded, true},
 		{"503 without X-Never-Ran", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.ServerError, true},
 		{"500 with X-Never-Ran", "HTTP/1.1 500 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.ServerError, true},
 		{"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", policy.ConnectionLost, false},
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -24,21 +24,21 @@
 }
 
 // TestNoAttemptsAfterDrainGrace checks that an attempt at a draining endpoint may start
-// within the drain grace period and not after it.
+// within the drain grace and not after it.
 func TestNoAttemptsAfterDrainGrace(t *testing.T) {
 	pool, endpoint := newTestPool("127.0.0.1:9")
 	now := time.Now()
 	draining := EndpointUpdate{ID: "s-0", Addr: endpoint.Addr(), State: policy.Draining}
 	pool.UpdateEndpoint(draining, now)
 	if !pool.AcceptsAttempts(endpoint, now.Add(pool.drainGrace/2)) {
-		t.Error("no attempt is accepted within the grace period")
+		t.Error("no attempt is accepted within the drain grace")
 	}
 	if pool.AcceptsAttempts(endpoint, now.Add(pool.drainGrace)) {
-		t.Error("an attempt is accepted after the grace period")
+		t.Error("an attempt is accepted after the drain grace")
 	}
-	pool.UpdateEndpoint(draining, now.Add(pool.drainGrace)) // a repeated report does not restart the grace period
+	pool.UpdateEndpoint(draining, now.Add(pool.drainGrace)) // a repeated report does not restart the drain grace
 	if pool.AcceptsAttempts(endpoint, now.Add(pool.drainGrace)) {
-		t.Error("a repeated report restarted the grace period")
+		t.Error("a repeated report restarted the drain grace")
 	}
 	pool.UpdateEndpoint(EndpointUpdate{ID: "s-0", Addr: endpoint.Addr(), State: policy.Serving}, now)
 	if !pool.AcceptsAttempts(endpoint, now.Add(pool.drainGrace)) {
