--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -149,7 +149,8 @@
 }
 
 // dialForAttempt dials a connection for an attempt, for which a slot of the pool is
-// reserved. It returns nil if the dial fails or the attempt may no longer be written.
+// reserved. It returns nil if the dial fails, the node has closed or the attempt may no longer
+// be written.
 func (n *Node) dialForAttempt(ctx context.Context, a *attempt) *upstream.Conn {
 	netConn, err := n.dial(ctx, "tcp", a.addr)
 	n.mu.Lock()
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -17,7 +17,7 @@
 	"swiftpitch/internal/upstream"
 )
 
-// awaitAllAnswered waits until no open request awaits an answer, as after its client disconnected.
+// awaitAllAnswered waits until each open request has its answer or its client has disconnected.
 func awaitAllAnswered(h *harness) {
 	h.t.Helper()
 	testsupport.Eventually(h.t, "all requests answered or ended by a disconnect", func() bool {
--- a/internal/edge/discovery.go
+++ b/internal/edge/discovery.go
@@ -4,8 +4,8 @@
 	"swiftpitch/internal/discovery"
 )
 
-// newDiscoveryClient returns a client that watches discovery and passes each list of endpoints
-// to applyList. Node.mu guards its address.
+// newDiscoveryClient returns a client that watches or polls discovery and passes each list of
+// endpoints to applyList. Node.mu guards its address.
 func (n *Node) newDiscoveryClient(address string) *discovery.Client {
 	return discovery.New(address, discovery.Options{
 		Lock:       &n.mu,
@@ -18,9 +18,10 @@
 }
 
 // ChangeAddresses sets the addresses of discovery and the counter for all further calls, as
-// when the configuration is reloaded. The call to discovery in progress is canceled. Responses
-// of the previous counter to earlier calls are still used. An empty counterAddress leaves the
-// counter's address unchanged. It may be called from any goroutine.
+// when the configuration is reloaded. If discovery's address changes, the call to it that is in
+// progress is canceled. Responses of the previous counter to earlier calls are still used. An
+// empty counterAddress leaves the counter's address unchanged. It may be called from any
+// goroutine.
 func (n *Node) ChangeAddresses(discoveryAddress, counterAddress string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/edge/discovery_test.go
+++ b/internal/edge/discovery_test.go
@@ -379,8 +379,8 @@
 	return longPolls
 }
 
-// TestReadyAfterFirstList checks that a process that knows no endpoint and can't reach discovery is
-// not ready, and that it becomes ready with the first list.
+// TestReadyAfterFirstList checks that a process that has no cached list and gets no list from
+// discovery is not ready, and that it becomes ready with the first list.
 func TestReadyAfterFirstList(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		var up atomic.Bool
--- a/internal/edge/doc.go
+++ b/internal/edge/doc.go
@@ -1,5 +1,6 @@
 // Package edge implements the edge node: it receives clients' requests, forwards the admitted
-// ones to endpoints, and does the input and output for the policy, which makes all decisions.
+// ones to endpoints, and does the input and output for the policy, which decides on admission,
+// endpoints and retries.
 //
 // A [Node] reports requests, responses, timers and updates from discovery as events to
 // [policy.Gateway] and executes the actions that the gateway returns. One lock, Node.mu, guards
@@ -15,6 +16,6 @@
 // The files of this package: node.go contains the node and its event loop, handler.go the HTTP
 // handler, request.go the lifecycle of a request, attempt.go and healthcheck.go the attempts
 // and health checks, upstreamconn.go their connections to endpoints, endpoints.go the list of
-// endpoints, discovery.go and counter.go the setup of those clients, limits.go the limits on
-// descriptors and memory, and shutdown.go the graceful shutdown.
+// endpoints, discovery.go and counter.go the setup of the discovery client and the counter
+// client, limits.go the limits on descriptors and memory, and shutdown.go the graceful shutdown.
 package edge
--- a/internal/edge/handler.go
+++ b/internal/edge/handler.go
@@ -13,8 +13,8 @@
 	// and from the deployment.
 	readyPath = "/-/ready"
 	// maxUnreservedBodyBytes is the longest body that does not count against the memory budget.
-	// Clients that declare long bodies and never send them exhaust the budget, but do not keep
-	// out ordinary requests.
+	// Clients that declare long bodies and never send them can exhaust the budget, but do not
+	// keep out ordinary requests.
 	maxUnreservedBodyBytes = 4 << 10
 )
 
--- a/internal/edge/handler_test.go
+++ b/internal/edge/handler_test.go
@@ -103,13 +103,14 @@
 	}
 }
 
-// TestBodyMemoryBudget checks that a request whose body exceeds the memory budget is rejected before
-// the body is read, and that a request's memory is free again once it is answered.
+// TestBodyMemoryBudget checks that a request whose body exceeds what is left of the memory budget is
+// rejected before the body is read, that requests with short bodies are still served, and that a
+// request's memory is free again once it is answered.
 func TestBodyMemoryBudget(t *testing.T) {
 	release := make(chan struct{})
 	endpoint := testsupport.StartFakeServer(t, testsupport.RespondAfter(release, testsupport.RespondOK))
 	cfg := testConfig(t)
-	cfg.MemoryBytes = frontend.MaxBodyBytes * 10 // one body of the largest size
+	cfg.MemoryBytes = frontend.MaxBodyBytes * 10 // the budget is one body of the largest size
 	h := startNode(t, cfg, endpoint.Addr)
 	first := h.dial()
 	long := []string{"Content-Length: 10", fmt.Sprintf("Content-Length: %d", frontend.MaxBodyBytes), "0123456789", strings.Repeat("z", frontend.MaxBodyBytes)}
@@ -122,7 +123,7 @@
 	}
 	small := h.dial() // long bodies do not keep out requests with short ones
 	io.WriteString(small, clientRequest("merge", "00000000000000dd"))
-	testsupport.Eventually(t, "the small request", func() bool { return len(endpoint.Requests()) == 2 })
+	testsupport.Eventually(t, "the request with a short body", func() bool { return len(endpoint.Requests()) == 2 })
 	close(release)
 	if resp, _ := small.readResponse(); resp.StatusCode != http.StatusOK {
 		t.Errorf("short body: status %d, want %d", resp.StatusCode, http.StatusOK)
--- a/internal/edge/healthcheck.go
+++ b/internal/edge/healthcheck.go
@@ -23,8 +23,9 @@
 	startedAt  time.Time
 }
 
-// startHealthCheck starts a health check, or reports it to the policy as failed if there is no
-// connection for it. The caller holds n.mu.
+// startHealthCheck starts a health check, or reports it to the policy as failed if the endpoint
+// is not listed or does not accept attempts, or the pool has no room for a connection. The
+// caller holds n.mu.
 func (n *Node) startHealthCheck(endpointID string) {
 	now := time.Now()
 	check := &healthCheck{endpointID: endpointID, endpoint: n.pool.Endpoint(endpointID), startedAt: now}
@@ -67,7 +68,8 @@
 }
 
 // dialForHealthCheck dials a connection for a health check, for which a slot of the pool is
-// reserved. It returns nil if the dial fails or the endpoint's drain grace is over.
+// reserved. It returns nil if the dial fails, the node has closed or the endpoint's drain grace
+// is over.
 func (n *Node) dialForHealthCheck(ctx context.Context, check *healthCheck) *upstream.Conn {
 	netConn, err := n.dial(ctx, "tcp", check.addr)
 	n.mu.Lock()
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -25,7 +25,7 @@
 	Seed             uint64         // seeds the random numbers of this process
 	MaxDescriptors   int            // file descriptors that the process may have open; 0: not configured
 	MemoryBytes      int64          // memory that the process may use; 0: not configured
-	CachedList       discovery.List // the endpoints known before discovery responds
+	CachedList       discovery.List // endpoint list that the last run received; used until discovery sends a newer one
 	Settings         *config.Settings
 }
 
@@ -98,8 +98,8 @@
 	return n, nil
 }
 
-// start passes the known endpoints to the policy and starts the goroutines that call discovery
-// and evict idle connections.
+// start passes the endpoints of the cached list to the policy and starts the goroutines that
+// call discovery and evict idle connections.
 func (n *Node) start() {
 	n.applyList(n.cfg.CachedList, policy.CachedUpdate)
 	if n.cfg.DiscoveryAddress != "" {
@@ -108,8 +108,8 @@
 	n.workers.Go(n.evictIdleConns)
 }
 
-// close ends the open attempts and closes idle connections to endpoints, and waits for the
-// node's goroutines. No event is dispatched after that.
+// close abandons the open attempts, closes idle connections to endpoints and the connection to
+// the counter, and waits for the node's goroutines. No event is dispatched after that.
 func (n *Node) close() {
 	n.stop()
 	n.mu.Lock()
