--- a/internal/policy/attempt_test.go
+++ b/internal/policy/attempt_test.go
@@ -10,7 +10,7 @@
 
 func TestNonIdempotentIsNeitherRetriedNorRejectedAfterItMayHaveRun(t *testing.T) {
 	for _, outcome := range []policy.Outcome{policy.ServerError, policy.ConnectionLost, policy.TimedOut, policy.Canceled} {
-		h := newHarness(t, settings(), 6)
+		h := newHarness(t, testSettings(), 6)
 		id, actions := h.receive(2, 1, 1, 1)
 		actions = h.step(policy.AttemptEnded{RequestID: id, Endpoint: startedAttempts(actions)[0].Endpoint, Outcome: outcome, Latency: ms})
 		if len(startedAttempts(actions)) > 0 || hasAction[policy.Reject](actions) || !hasAction[policy.Fail](actions) {
@@ -18,7 +18,7 @@
 		}
 	}
 	for _, outcome := range []policy.Outcome{policy.Overloaded, policy.ConnectFailed} {
-		h := newHarness(t, settings(), 6)
+		h := newHarness(t, testSettings(), 6)
 		id, actions := h.receive(2, 1, 1, 1)
 		actions = h.step(policy.AttemptEnded{RequestID: id, Endpoint: startedAttempts(actions)[0].Endpoint, Outcome: outcome, Latency: ms})
 		if len(startedAttempts(actions)) != 1 {
@@ -33,9 +33,9 @@
 		zones[testEndpoint(i).ID] = testEndpoint(i).Zone
 	}
 	for seed := range uint64(20) {
-		set := settings()
-		set.Seed = seed
-		h := newHarness(t, set, 6)
+		settings := testSettings()
+		settings.Seed = seed
+		h := newHarness(t, settings, 6)
 		id, actions := h.receive(1, 1, 1, 1)
 		first := startedAttempts(actions)[0].Endpoint
 		actions = h.step(policy.AttemptEnded{RequestID: id, Endpoint: first, Outcome: policy.ServerError, Latency: ms})
@@ -51,9 +51,9 @@
 }
 
 func TestStartedResponseIsLeftAlone(t *testing.T) {
-	set := settings()
-	set.Classes[0].Streaming = true
-	h := newHarness(t, set, 6)
+	settings := testSettings()
+	settings.Classes[0].Streaming = true
+	h := newHarness(t, settings, 6)
 	id, actions := h.receive(0, 1, 1, 1)
 	first := startedAttempts(actions)[0]
 	if first.Timeout != 0 {
@@ -73,7 +73,7 @@
 		utilization float64
 		hedges      bool
 	}{{0.3, true}, {0.95, false}} {
-		h := newHarness(t, settings(), 6)
+		h := newHarness(t, testSettings(), 6)
 		for range 100 {
 			h.advance(10*ms, replyWithTotal(0))
 			id, actions := h.receive(0, 1, 1, 1)
@@ -95,9 +95,9 @@
 // counter's reply, which may come in time, late or never.
 func TestNoAttemptForADisconnectedClient(t *testing.T) {
 	for _, allowCancel := range []bool{true, false} {
-		set := settings()
-		set.AllowCancel = allowCancel
-		h := newHarness(t, set, 8)
+		settings := testSettings()
+		settings.AllowCancel = allowCancel
+		h := newHarness(t, settings, 8)
 		id, actions := h.receive(0, 1, 1, 1)
 		attempts := startedAttempts(actions)
 		if len(attempts) != 1 {
@@ -111,9 +111,9 @@
 	}
 	const noReply policy.Outcome = -1
 	for _, outcome := range []policy.Outcome{policy.Succeeded, policy.Overloaded, policy.TimedOut, noReply} {
-		set := settings()
-		set.Plans[0].OverQuotaCost = 1
-		h := newHarness(t, set, 8)
+		settings := testSettings()
+		settings.Plans[0].OverQuotaCost = 1
+		h := newHarness(t, settings, 8)
 		id := h.receiveUntilHeld()
 		expectNoAttempt(t, h.step(policy.ClientDisconnected{RequestID: id}))
 		reply := func(call policy.AddToCounter) policy.CounterReplied {
--- a/internal/policy/balancer_test.go
+++ b/internal/policy/balancer_test.go
@@ -5,9 +5,9 @@
 func TestGatewayUsesASubsetOfManyEndpoints(t *testing.T) {
 	// Found in incident i530123: hundreds of gateways, each connected to every endpoint and knowing none.
 	usedBy := func(gatewayIndex int) map[string]bool {
-		set := settings()
-		set.Gateways, set.GatewayIndex = 200, gatewayIndex
-		h := newHarness(t, set, 100)
+		settings := testSettings()
+		settings.Gateways, settings.GatewayIndex = 200, gatewayIndex
+		h := newHarness(t, settings, 100)
 		used := map[string]bool{}
 		for range 500 {
 			id, actions := h.receive(0, 1, 1, 1)
--- a/internal/policy/bench_test.go
+++ b/internal/policy/bench_test.go
@@ -13,7 +13,7 @@
 // newBenchmarkGateway returns a gateway that knows a number of endpoints, all warm.
 func newBenchmarkGateway(b *testing.B, endpoints int) (*policy.Gateway, []policy.Endpoint) {
 	b.Helper()
-	gateway, err := policy.New(time.Hour, settings())
+	gateway, err := policy.New(time.Hour, testSettings())
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/policy/endpoint_test.go
+++ b/internal/policy/endpoint_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestDrainingEndpointGetsNoAttempt(t *testing.T) {
-	h := newHarness(t, settings(), 2)
+	h := newHarness(t, testSettings(), 2)
 	draining := testEndpoint(0)
 	draining.State = policy.Draining
 	h.step(policy.EndpointsUpdated{Scope: policy.IncrementalUpdate, Endpoints: []policy.Endpoint{draining}})
@@ -28,7 +28,7 @@
 // Guards a gateway that runs for long against growth: endpoints that others replace
 // under new names are forgotten.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
-	h := newHarness(t, settings(), 1)
+	h := newHarness(t, testSettings(), 1)
 	replace := func(from, to int) {
 		for i := from; i < to; i++ {
 			removed := policy.Endpoint{ID: fmt.Sprint("n", i-1), State: policy.Removed}
@@ -52,9 +52,9 @@
 }
 
 func TestSubscribesWhereDiscoveryRequiresIt(t *testing.T) {
-	set := settings()
-	set.MustSubscribe, set.SubscriptionTimeout = true, 8*time.Second
-	gateway, err := policy.New(0, set)
+	settings := testSettings()
+	settings.MustSubscribe, settings.SubscriptionTimeout = true, 8*time.Second
+	gateway, err := policy.New(0, settings)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -44,7 +44,7 @@
 func TestFleetSharesWorkByTheCapacityOfEndpointsWarmingUp(t *testing.T) {
 	for _, warmingUp := range []int{3, 22, 36} {
 		t.Run(fmt.Sprint(warmingUp, " warming up"), func(t *testing.T) {
-			set := settings()
+			set := testSettings()
 			set.SlowStartCapacity, set.SlowStartDuration = 0.4, time.Hour // these stay at 0.4
 			attempts := map[string]float64{}
 			total := 0.0
@@ -175,7 +175,7 @@
 func TestFleetFillsAndKeepsTheQuotaOfWidelySpreadTenants(t *testing.T) {
 	// Plan 0 has 4 units a second and a burst of 8; 60 gateways see a tenant's request every 20 s each. Half of
 	// the tenants ask for 11 units in one second of four, the others for four times their quota.
-	set := settings()
+	set := testSettings()
 	set.Plans[0].OverQuotaCost = 1
 	const seconds = 60
 	traffic := &tenantTraffic{
@@ -213,7 +213,7 @@
 func TestFleetKeepsTheCountersQueueShort(t *testing.T) {
 	// The counter serves a third of what the fleet would call. What waits for it longer than requests are held is
 	// of no use, so the gateways together must call less than it serves.
-	set := settings()
+	set := testSettings()
 	set.Plans[0].OverQuotaCost = 1
 	counter := &queueingCounter{fakeCounter: fakeCounter{}, serviceTime: 10 * ms}
 	gateways := newFleet(t, 60, set, newEndpointList(0, 0))
@@ -302,7 +302,7 @@
 	const seconds, gateways, tenants = 40, 30, 30
 	for _, each := range []time.Duration{4 * ms, 20 * ms} { // a counter with calls to spare, and one with few
 		t.Run(fmt.Sprint("a call each ", each), func(t *testing.T) {
-			set := settings()
+			set := testSettings()
 			set.Plans[0].OverQuotaCost = 1
 			harnesses := newFleet(t, gateways, set, newEndpointList(0, 0))
 			quotas := newQuotaOracle(tenants, harnesses[0].now)
--- a/internal/policy/gateway_test.go
+++ b/internal/policy/gateway_test.go
@@ -12,9 +12,9 @@
 
 const ms = time.Millisecond
 
-// settings describes three gateways with classes of every idempotency: any, by key within a zone, none, and by key
+// testSettings describes three gateways with classes of every idempotency: any, by key within a zone, none, and by key
 // within the fleet. Its plans have a small quota, a large one, a hard limit, and a limit on concurrent attempts.
-func settings() policy.Settings {
+func testSettings() policy.Settings {
 	return policy.Settings{
 		Seed: 7, Gateways: 3,
 		Classes: []policy.Class{
@@ -55,15 +55,15 @@
 
 // newHarness returns a harness whose gateway knows a number of endpoints, at a time that suits
 // most tests.
-func newHarness(t *testing.T, set policy.Settings, endpoints int) *harness {
+func newHarness(t *testing.T, settings policy.Settings, endpoints int) *harness {
 	t.Helper()
-	return newHarnessAt(t, 1000*time.Second, set, endpoints)
+	return newHarnessAt(t, 1000*time.Second, settings, endpoints)
 }
 
 // newHarnessAt is [newHarness] at another time.
-func newHarnessAt(t *testing.T, now time.Duration, set policy.Settings, endpoints int) *harness {
+func newHarnessAt(t *testing.T, now time.Duration, settings policy.Settings, endpoints int) *harness {
 	t.Helper()
-	gateway, err := policy.New(now, set)
+	gateway, err := policy.New(now, settings)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -19,9 +19,9 @@
 // requests after the first hundred.
 func attemptsAtFaultyEndpoint(t *testing.T, class int, fail func(*harness, policy.StartAttempt)) (late int) {
 	t.Helper()
-	set := settings()
-	set.AllowHedging = false
-	h := newHarness(t, set, 4)
+	settings := testSettings()
+	settings.AllowHedging = false
+	h := newHarness(t, settings, 4)
 	for i := range 400 {
 		h.advance(20*ms, replyWithTotal(0))
 		id, actions := h.receive(class, 1, 1, 1)
@@ -61,7 +61,7 @@
 func TestReadmittedEndpointsAreNotThrottledToNothing(t *testing.T) {
 	// Found on a deployment: after all endpoints had been ejected and had come back, a gateway that
 	// had forwarded nothing meanwhile allowed itself nothing.
-	h := newHarness(t, settings(), 3)
+	h := newHarness(t, testSettings(), 3)
 	for range 60 { // nobody answers
 		h.advance(50*ms, replyWithTotal(0))
 		id, actions := h.receive(0, 1, 1, 1)
@@ -85,7 +85,7 @@
 }
 
 func TestAllHangingEndpointsAreNotAllEjected(t *testing.T) {
-	h := newHarness(t, settings(), 3)
+	h := newHarness(t, testSettings(), 3)
 	attempts := 0
 	for i := range 200 {
 		h.advance(50*ms, replyWithTotal(0))
@@ -103,9 +103,9 @@
 }
 
 func TestEjectedEndpointsAreHealthCheckedFirstWhereAllowed(t *testing.T) {
-	set := settings()
-	set.AllowHedging, set.AllowHealthChecks = false, true
-	h := newHarness(t, set, 4)
+	settings := testSettings()
+	settings.AllowHedging, settings.AllowHealthChecks = false, true
+	h := newHarness(t, settings, 4)
 	healthChecks, attemptsAfter := 0, 0
 	for range 300 {
 		h.advance(20*ms, replyWithTotal(0))
--- a/internal/policy/quota_test.go
+++ b/internal/policy/quota_test.go
@@ -9,7 +9,7 @@
 
 func TestInitialAllocationIsAnEvenShare(t *testing.T) {
 	// Burst 8 over 3 gateways: 2.67 units, two requests of one unit.
-	if k := newHarness(t, settings(), 6).countAdmitted(8, 0, 1); k < 2 || k > 4 {
+	if k := newHarness(t, testSettings(), 6).countAdmitted(8, 0, 1); k < 2 || k > 4 {
 		t.Errorf("a new tenant got %d units at once of a burst of 8 shared by 3", k)
 	}
 }
@@ -28,17 +28,17 @@
 
 func TestAllocationFollowsTheDemandShareOverQuota(t *testing.T) {
 	// The quota of an interval is 4·2 = 8. Local demand 5 of fleet demand 10: 5/10·8 = 4 an interval, 40 in 20 s.
-	if k := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(10)); k < 37 || k > 43 {
+	if k := admittedAtSteadyDemand(newHarness(t, testSettings(), 6), replyWithTotal(10)); k < 37 || k > 43 {
 		t.Errorf("half of the demand got %d of 80 units, want about 40", k)
 	}
 	// 5 of 20 falls to 5/20·8 = 2, above the floor of 0.7·8/3 = 1.87: 20 in 20 s.
-	if k := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(20)); k < 17 || k > 23 {
+	if k := admittedAtSteadyDemand(newHarness(t, testSettings(), 6), replyWithTotal(20)); k < 17 || k > 23 {
 		t.Errorf("a quarter of the demand got %d of 80 units, want about 20", k)
 	}
 }
 
 func TestWithinQuotaTheLastDemandIsAdmitted(t *testing.T) {
-	if k := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(6)); k < 49 {
+	if k := admittedAtSteadyDemand(newHarness(t, testSettings(), 6), replyWithTotal(6)); k < 49 {
 		t.Errorf("below the quota %d of 50 units were admitted", k)
 	}
 }
@@ -48,7 +48,7 @@
 		"unresponsive": replyWithOutcome(policy.TimedOut),
 		"reset":        replyWithTotal(0),
 	} {
-		h := newHarness(t, settings(), 6)
+		h := newHarness(t, testSettings(), 6)
 		admittedAtSteadyDemand(h, replyWithTotal(20))
 		if k := admittedAtSteadyDemand(h, reply); k > 24 {
 			t.Errorf("%s: %d of 80 units admitted, the last allocation was 20", name, k)
@@ -57,7 +57,7 @@
 }
 
 func TestFailedAddIsMadeUpByTheRead(t *testing.T) {
-	h := newHarness(t, settings(), 6)
+	h := newHarness(t, testSettings(), 6)
 	h.countAdmitted(2, 0, 1)
 	var calls []policy.AddToCounter
 	overloaded := replyWithOutcome(policy.Overloaded)
@@ -79,7 +79,7 @@
 		if incarnation == 3 {
 			reply = replyWithOutcome(policy.Overloaded)
 		}
-		h := newHarnessAt(t, time.Duration(1000+2*incarnation)*time.Second, settings(), 6)
+		h := newHarnessAt(t, time.Duration(1000+2*incarnation)*time.Second, testSettings(), 6)
 		for range 20 {
 			units += h.countAdmitted(2, 2, 9)
 			h.advance(100*ms, reply)
@@ -96,7 +96,7 @@
 
 func TestFirstIncarnationHasItsShareOfTheHardLimit(t *testing.T) {
 	// With no record of an earlier incarnation the share is there at once, not only after its refill.
-	h, counter := newHarness(t, settings(), 6), fakeCounter{}
+	h, counter := newHarness(t, testSettings(), 6), fakeCounter{}
 	h.countAdmitted(1, 2, 9)
 	h.advance(50*ms, counter.add)
 	if units := h.countAdmitted(20, 2, 9); units < 4 {
@@ -104,7 +104,7 @@
 	}
 	// The record goes on through changes of its key: an incarnation that follows a long one finds it.
 	h.advance(65*time.Second, counter.add)
-	h = newHarnessAt(t, h.now+time.Second, settings(), 6)
+	h = newHarnessAt(t, h.now+time.Second, testSettings(), 6)
 	units := h.countAdmitted(1, 2, 9)
 	h.advance(50*ms, counter.add)
 	if units += h.countAdmitted(20, 2, 9); units > 1 {
@@ -114,7 +114,7 @@
 
 func TestRetriesLeaveTheTokensToFirstAttempts(t *testing.T) {
 	// Found on quiet days: late retries used up tokens that first attempts then lacked.
-	h := newHarness(t, settings(), 6)
+	h := newHarness(t, testSettings(), 6)
 	retryAdmitted := func() bool {
 		_, actions := h.receiveEvent(policy.RequestReceived{Tenant: 1, Timeout: time.Second, Units: 1, TenantGateways: 3, IsRetry: true})
 		return h.succeedAll(startedAttempts(actions)) > 0
@@ -133,7 +133,7 @@
 func TestFailingCounterIsCalledLess(t *testing.T) {
 	// Found in incidents i8728b4 and if8a11d: a counter that is outgrown fails all calls.
 	calls := func(outcome policy.Outcome) (count int) {
-		h := newHarness(t, settings(), 6)
+		h := newHarness(t, testSettings(), 6)
 		for range 100 {
 			h.advance(400*ms, func(call policy.AddToCounter) policy.CounterReplied {
 				count++
@@ -151,7 +151,7 @@
 
 func TestLimitOnConcurrentAttempts(t *testing.T) {
 	// 3 concurrent attempts over 3 gateways: one in flight here.
-	h := newHarness(t, settings(), 6)
+	h := newHarness(t, testSettings(), 6)
 	id, actions := h.receive(0, 3, 5, 1)
 	first := startedAttempts(actions)
 	if _, actions := h.receive(0, 3, 5, 1); len(first) != 1 || !hasAction[policy.Reject](actions) {
@@ -166,7 +166,7 @@
 func TestActualUnitsAreTakenFromTheAllocation(t *testing.T) {
 	// A third of the burst of 8 is 2.67; an estimate of 1 that truly was 3 leaves less than nothing.
 	for units, want := range map[float64]int{1: 1, 3: 0} {
-		set := settings()
+		set := testSettings()
 		set.ActualUnitsReported = true
 		h := newHarness(t, set, 6)
 		id, actions := h.receive(0, 0, 1, 1)
@@ -180,7 +180,7 @@
 
 func TestSlowCounterStillGivesTheAllocation(t *testing.T) {
 	// The replies to adds come too late, yet the adds arrived, and the reads tell the total.
-	h := newHarness(t, settings(), 6)
+	h := newHarness(t, testSettings(), 6)
 	k := admittedAtSteadyDemand(h, func(call policy.AddToCounter) policy.CounterReplied {
 		if call.Units > 0 {
 			return policy.CounterReplied{Key: call.Key, Outcome: policy.TimedOut}
@@ -193,7 +193,7 @@
 }
 
 func TestWithoutCounterTheSplitIsEven(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.CounterEnabled = false
 	h := newHarness(t, set, 6)
 	units := 0
@@ -219,7 +219,7 @@
 		{"the counter does not respond", 0, policy.TimedOut, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			set := settings()
+			set := testSettings()
 			set.Plans[0] = policy.Plan{Rate: 10, Burst: 20, PriorityWeight: 1}
 			h, counter := newHarness(t, set, 6), fakeCounter{}
 			for range 40 { // well under the quota, by the totals as well
--- a/internal/policy/sequences_test.go
+++ b/internal/policy/sequences_test.go
@@ -49,7 +49,7 @@
 type oracle struct {
 	t        *testing.T
 	seed     uint64
-	set      policy.Settings
+	settings policy.Settings
 	harness  *harness
 	requests map[string]*oracleRequest
 	order    []string // ids in the order of arrival
@@ -62,9 +62,9 @@
 func playSequence(t *testing.T, seed uint64) []policy.Action {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
-	set := settings()
-	set.AllowCancel, set.AllowHedging = seed%2 == 0, seed%3 != 0
-	o := &oracle{t: t, seed: seed, set: set, harness: newHarness(t, set, 5),
+	settings := testSettings()
+	settings.AllowCancel, settings.AllowHedging = seed%2 == 0, seed%3 != 0
+	o := &oracle{t: t, seed: seed, settings: settings, harness: newHarness(t, settings, 5),
 		requests: map[string]*oracleRequest{}, zones: map[string]int{}}
 	for i := range 5 {
 		o.zones[testEndpoint(i).ID] = testEndpoint(i).Zone
@@ -147,7 +147,7 @@
 		case policy.Fail:
 			o.answer(action.RequestID)
 		case policy.CancelAttempt:
-			if !o.set.AllowCancel {
+			if !o.settings.AllowCancel {
 				o.t.Fatalf("seed %d: cancel is not allowed", o.seed)
 			}
 		}
@@ -166,8 +166,8 @@
 			o.t.Fatalf("seed %d: class %d: another attempt at %s after %+v", o.seed, request.class, start.Endpoint, *earlier)
 		}
 	}
-	if request.answered || start.Endpoint == o.draining || len(request.attempts) >= o.set.MaxAttempts ||
-		inFlight > 1 || inFlight > 0 && !o.set.AllowHedging {
+	if request.answered || start.Endpoint == o.draining || len(request.attempts) >= o.settings.MaxAttempts ||
+		inFlight > 1 || inFlight > 0 && !o.settings.AllowHedging {
 		o.t.Fatalf("seed %d: attempt of %s at %s is not allowed", o.seed, start.RequestID, start.Endpoint)
 	}
 	expiresAt := request.deadline
@@ -180,7 +180,7 @@
 
 // mayRunTwice reports whether an attempt at an endpoint could run a request a second time that must run once.
 func (o *oracle) mayRunTwice(request *oracleRequest, earlier *oracleAttempt, endpoint string) bool {
-	class := o.set.Classes[request.class]
+	class := o.settings.Classes[request.class]
 	if earlier.execution == attemptNeverRan || class.Idempotency == policy.Idempotent {
 		return false
 	}
@@ -192,7 +192,7 @@
 func (o *oracle) checkReject(reject policy.Reject) {
 	o.t.Helper()
 	request := o.requests[reject.RequestID]
-	class := o.set.Classes[request.class]
+	class := o.settings.Classes[request.class]
 	for _, attempt := range request.attempts {
 		if attempt.execution != attemptNeverRan && (class.Idempotency == policy.NonIdempotent ||
 			class.Idempotency == policy.IdempotentByKey && class.DedupScope != policy.DedupFleet) {
--- a/internal/policy/sharedbucket_test.go
+++ b/internal/policy/sharedbucket_test.go
@@ -23,7 +23,7 @@
 func TestSmallSharesAreDecidedByTheSharedBucket(t *testing.T) {
 	// Of a quota of 8 an interval one of 100 gateways has less than a request: the total decides, not an allocation.
 	decide := func(total float64, timeout time.Duration) (calls, admitted int) {
-		set := settings()
+		set := testSettings()
 		set.Plans[0].OverQuotaCost, set.CounterTimeout = 1, 400*ms
 		h := newHarness(t, set, 6)
 		for i := range 40 {
@@ -54,7 +54,7 @@
 func TestLateRepliesOfTheCounterHoldNoRequest(t *testing.T) {
 	// The caller may wait for the counter for longer than CounterTimeout; a request is held no longer than that, and
 	// a total that comes later decides it no more.
-	h := newHarness(t, settings(), 6)
+	h := newHarness(t, testSettings(), 6)
 	held := 0
 	for i := range 40 {
 		_, actions := h.receiveEvent(sharedBucketRequest(uint64(i), 2*time.Second))
@@ -78,7 +78,7 @@
 
 func TestNoRequestIsHeldAfterAStall(t *testing.T) {
 	// Found on milano big-2: the backlog of a gateway that had stalled was held past the clients' deadlines.
-	h := newHarness(t, settings(), 6)
+	h := newHarness(t, testSettings(), 6)
 	h.advance(time.Second, replyWithTotal(0))
 	h.now += 2 * time.Second // events come late
 	for i := range 20 {
@@ -93,7 +93,7 @@
 // gateways for 40 s before a shared counter, which rejects a part of their calls, and returns the units admitted.
 func admittedByFleet(t *testing.T, gateways int, times float64, rejected float64) (units float64) {
 	t.Helper()
-	set := settings()
+	set := testSettings()
 	set.Gateways, set.Plans[0].OverQuotaCost = gateways, 1
 	rng := rand.New(rand.NewPCG(3, uint64(gateways)))
 	var harnesses []*harness
@@ -151,7 +151,7 @@
 
 func TestActualUnitsSettleTheSharedBucket(t *testing.T) {
 	for units, want := range map[float64]float64{1: 1, 3: 3} {
-		set := settings()
+		set := testSettings()
 		set.ActualUnitsReported, set.Plans[0].OverQuotaCost = true, 1
 		// largest returns the largest total of the counter, which holds the bucket, after one request.
 		largest := func(end func(h *harness, counter fakeCounter, attempts []policy.StartAttempt)) float64 {
--- a/internal/policy/slowstart_sim_test.go
+++ b/internal/policy/slowstart_sim_test.go
@@ -28,7 +28,7 @@
 	testclock.Clock
 	t                 *testing.T
 	rng               *rand.Rand
-	set               policy.Settings
+	settings          policy.Settings
 	gateways          []*simGateway
 	cumulativeWeights []float64 // of the traffic, by gateway
 	endpoints         map[string]*simEndpoint
@@ -41,7 +41,7 @@
 // six times the traffic of another.
 func newSimFleet(t *testing.T, gateways int, uneven bool) *simFleet {
 	t.Helper()
-	f := &simFleet{t: t, rng: rand.New(rand.NewPCG(uint64(gateways), 21)), set: simSettings(gateways),
+	f := &simFleet{t: t, rng: rand.New(rand.NewPCG(uint64(gateways), 21)), settings: simSettings(gateways),
 		endpoints: map[string]*simEndpoint{}}
 	for i := range simEndpoints {
 		f.add(fmt.Sprint("s", i), 0)
@@ -62,15 +62,15 @@
 }
 
 func simSettings(gateways int) policy.Settings {
-	set := settings()
-	set.Gateways = gateways
-	set.Classes = []policy.Class{{LatencyObjective: time.Second, Deadline: simClientTimeout,
+	settings := testSettings()
+	settings.Gateways = gateways
+	settings.Classes = []policy.Class{{LatencyObjective: time.Second, Deadline: simClientTimeout,
 		Idempotency: policy.Idempotent, PriorityWeight: 1}}
-	set.Plans[1] = policy.Plan{Rate: 1e5, Burst: 1e6, PriorityWeight: 1} // quotas are not what this is about
-	set.SlowStartCapacity, set.SlowStartDuration = 0.27, 18*time.Second
-	set.OverloadMultiple, set.OverloadDuration = 2.5, 3*time.Second
-	set.MaxAttempts = 4
-	return set
+	settings.Plans[1] = policy.Plan{Rate: 1e5, Burst: 1e6, PriorityWeight: 1} // quotas are not what this is about
+	settings.SlowStartCapacity, settings.SlowStartDuration = 0.27, 18*time.Second
+	settings.OverloadMultiple, settings.OverloadDuration = 2.5, 3*time.Second
+	settings.MaxAttempts = 4
+	return settings
 }
 
 // receive brings a request to a gateway by the weights of the traffic. Its client retries
@@ -172,9 +172,9 @@
 
 // start begins a new incarnation.
 func (g *simGateway) start(gatewayIndex int) {
-	set := g.fleet.set
-	set.GatewayIndex, set.Seed = gatewayIndex, uint64(gatewayIndex+1000*g.incarnation+1)
-	gateway, err := policy.New(g.fleet.Now, set)
+	settings := g.fleet.settings
+	settings.GatewayIndex, settings.Seed = gatewayIndex, uint64(gatewayIndex+1000*g.incarnation+1)
+	gateway, err := policy.New(g.fleet.Now, settings)
 	if err != nil {
 		g.fleet.t.Fatal(err)
 	}
@@ -277,11 +277,11 @@
 
 // slowStartFactor is the part of its capacity that an endpoint has at some time.
 func (e *simEndpoint) slowStartFactor(at time.Duration) float64 {
-	set := &e.fleet.set
-	if e.StartedAt == 0 || at >= e.StartedAt+set.SlowStartDuration {
+	settings := &e.fleet.settings
+	if e.StartedAt == 0 || at >= e.StartedAt+settings.SlowStartDuration {
 		return 1
 	}
-	return set.SlowStartCapacity + (1-set.SlowStartCapacity)*max((at-e.StartedAt).Seconds(), 0)/set.SlowStartDuration.Seconds()
+	return settings.SlowStartCapacity + (1-settings.SlowStartCapacity)*max((at-e.StartedAt).Seconds(), 0)/settings.SlowStartDuration.Seconds()
 }
 
 // receive takes in an attempt that is given up at some time; end tells its outcome.
@@ -326,18 +326,18 @@
 
 // nearestApproach is that of this endpoint, see [simFleet.nearestApproach].
 func (e *simEndpoint) nearestApproach() (nearest float64) {
-	set := &e.fleet.set
+	settings := &e.fleet.settings
 	first := 0
 	for i, at := range e.received {
-		for e.received[first] <= at-set.OverloadDuration {
+		for e.received[first] <= at-settings.OverloadDuration {
 			first++
 		}
-		begin := max(at-set.OverloadDuration, e.StartedAt)
+		begin := max(at-settings.OverloadDuration, e.StartedAt)
 		factor := e.slowStartFactor(begin)
 		if factor >= 1 {
 			break
 		}
-		n := set.OverloadMultiple * factor * simCapacity * set.OverloadDuration.Seconds()
+		n := settings.OverloadMultiple * factor * simCapacity * settings.OverloadDuration.Seconds()
 		nearest = max(nearest, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
 	}
 	return nearest
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestEndpointWarmingUpIsSpared(t *testing.T) {
-	h := newHarness(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	restarted := testEndpoint(0)
 	attempts := 0
 	for i := range 200 {
@@ -35,9 +35,9 @@
 func TestFleetOfEndpointsWarmingUpIsStillUsed(t *testing.T) {
 	// With every endpoint warming up and nothing forwarded yet, a throttle by own attempts alone would
 	// give nothing for ever.
-	set := settings()
-	set.SlowStartDuration = time.Minute
-	h := newHarness(t, set, 0)
+	settings := testSettings()
+	settings.SlowStartDuration = time.Minute
+	h := newHarness(t, settings, 0)
 	update := policy.EndpointsUpdated{Scope: policy.FullUpdate}
 	for i := range 3 {
 		endpoint := testEndpoint(i)
--- a/internal/policy/throttle_test.go
+++ b/internal/policy/throttle_test.go
@@ -28,7 +28,7 @@
 
 func TestLossesAtAllEndpointsDoNotLookLikeLoad(t *testing.T) {
 	// Found in incident ic48e92: a quarter of the attempts lost everywhere, the rest at usual latencies.
-	h := newHarness(t, settings(), 2)
+	h := newHarness(t, testSettings(), 2)
 	var pending []pendingOutcome
 	rejected := 0
 	for i := range 1000 {
@@ -55,9 +55,9 @@
 func TestManyGatewaysKeepQueuesShort(t *testing.T) {
 	// Found in incident i6186b0: each of many gateways adds its few attempts to the same endpoints.
 	inFlight := func(gateways int) (attempts int) {
-		set := settings()
-		set.Gateways = gateways
-		h := newHarness(t, set, 4)
+		settings := testSettings()
+		settings.Gateways = gateways
+		h := newHarness(t, settings, 4)
 		for range 200 { // all at once, nothing is answered
 			_, actions := h.receive(0, 1, 1, 1)
 			attempts += len(startedAttempts(actions))
@@ -72,9 +72,9 @@
 func TestEndpointsThatAnswerNobodyInTimeGetFewerAttempts(t *testing.T) {
 	// Found in incident i2861ff: all endpoints fall behind, and a gateway of few attempts sees no queue.
 	attemptsWith := func(lostOfTen int) (attempts int) {
-		set := settings()
-		set.AllowHedging, set.Gateways = false, 100
-		h := newHarness(t, set, 20)
+		settings := testSettings()
+		settings.AllowHedging, settings.Gateways = false, 100
+		h := newHarness(t, settings, 20)
 		for i := range 400 {
 			h.advance(250*ms, replyWithTotal(0))
 			id, actions := h.receive(2, 1, 1, 1)
--- a/internal/policy/validate_test.go
+++ b/internal/policy/validate_test.go
@@ -19,9 +19,9 @@
 		"negative rate": func(s *policy.Settings) { s.Plans[0].Rate = -1 },
 		"no attempts":   func(s *policy.Settings) { s.MaxAttempts = 0 },
 	} {
-		set := settings()
-		spoil(&set)
-		if _, err := policy.New(0, set); err == nil {
+		settings := testSettings()
+		spoil(&settings)
+		if _, err := policy.New(0, settings); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
@@ -55,9 +55,9 @@
 		{func(s *policy.Settings) { s.Plans[3].MaxConcurrent = -1 },
 			policy.SettingsError{Section: "plan", Index: 3, Field: "MaxConcurrent"}, "plan 3: MaxConcurrent: -1"},
 	} {
-		set := settings()
-		test.spoil(&set)
-		_, err := policy.New(0, set)
+		settings := testSettings()
+		test.spoil(&settings)
+		_, err := policy.New(0, settings)
 		var got *policy.SettingsError
 		if !errors.As(err, &got) {
 			t.Errorf("want an error for %+v, got %v", test.want, err)
