--- a/internal/policy/sequences_test.go
+++ b/internal/policy/sequences_test.go
@@ -13,7 +13,7 @@
 // TestRandomSequences feeds legal random events and checks the actions with an oracle of its own.
 func TestRandomSequences(t *testing.T) {
 	for seed := range uint64(30) {
-		first, second := playSequence(t, seed), playSequence(t, seed)
+		first, second := runSequence(t, seed), runSequence(t, seed)
 		if !reflect.DeepEqual(first, second) {
 			t.Fatalf("seed %d: the same events gave other actions", seed)
 		}
@@ -58,8 +58,8 @@
 	actions  []policy.Action
 }
 
-// playSequence plays the random events of a seed and returns all actions.
-func playSequence(t *testing.T, seed uint64) []policy.Action {
+// runSequence plays the random events of a seed and returns all actions.
+func runSequence(t *testing.T, seed uint64) []policy.Action {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	settings := testSettings()
--- a/internal/policy/slowstart_sim_test.go
+++ b/internal/policy/slowstart_sim_test.go
@@ -15,12 +15,12 @@
 // This file simulates a whole fleet of gateways before endpoints that start slowly.
 
 const (
-	simEndpoints     = 30
-	simCapacity      = 12.0 // requests of mean work that a warm endpoint does in a second
-	simOneWayLatency = 2 * ms
-	simMaxQueue      = 60 // requests that wait at an endpoint; more are rejected
-	simClientTimeout = 2500 * ms
-	simUpdateSpread  = time.Second // updates reach the gateways within this
+	simEndpoints      = 30
+	simCapacity       = 12.0 // requests of mean work that a warm endpoint does in a second
+	simOneWayLatency  = 2 * ms
+	simMaxQueue       = 60 // requests that wait at an endpoint; more are rejected
+	simClientTimeout  = 2500 * ms
+	simMaxUpdateDelay = time.Second // updates reach the gateways within this
 )
 
 // simFleet is a fleet of gateways before its endpoints, in simulated time.
@@ -44,7 +44,7 @@
 	f := &simFleet{t: t, rng: rand.New(rand.NewPCG(uint64(gateways), 21)), settings: simSettings(gateways),
 		endpoints: map[string]*simEndpoint{}}
 	for i := range simEndpoints {
-		f.add(fmt.Sprint("s", i), 0)
+		f.addEndpoint(fmt.Sprint("s", i), 0)
 	}
 	sum := 0.0
 	for i := range gateways {
@@ -94,22 +94,22 @@
 		Timeout: simClientTimeout, Units: 1, TenantGateways: 1})
 }
 
-// offer brings requests, rate a second, until a time.
-func (f *simFleet) offer(rate float64, until time.Duration, retries int) {
+// generateRequests brings requests, rate a second, until a time.
+func (f *simFleet) generateRequests(rate float64, until time.Duration, retries int) {
 	gap := time.Duration(f.rng.ExpFloat64() / rate * float64(time.Second))
 	if f.Now+gap < until {
 		f.After(gap, func() {
 			f.receive(retries)
-			f.offer(rate, until, retries)
+			f.generateRequests(rate, until, retries)
 		})
 	}
 }
 
-// update hands an update of discovery to all gateways, each up to a second late.
-func (f *simFleet) update(scope policy.UpdateScope, endpoints ...policy.Endpoint) {
+// sendUpdate delivers a discovery update to every gateway after a random delay of up to simMaxUpdateDelay.
+func (f *simFleet) sendUpdate(scope policy.UpdateScope, endpoints ...policy.Endpoint) {
 	for _, gateway := range f.gateways {
 		incarnation := gateway.incarnation
-		f.After(time.Duration(f.rng.Float64()*float64(simUpdateSpread)), func() {
+		f.After(time.Duration(f.rng.Float64()*float64(simMaxUpdateDelay)), func() {
 			if gateway.incarnation == incarnation {
 				gateway.step(policy.EndpointsUpdated{Scope: scope, Endpoints: endpoints})
 			}
@@ -117,34 +117,34 @@
 	}
 }
 
-// list is discovery's whole list.
-func (f *simFleet) list() (list []policy.Endpoint) {
+// servingEndpoints returns the complete endpoint list of discovery.
+func (f *simFleet) servingEndpoints() (list []policy.Endpoint) {
 	for _, endpoint := range f.order {
-		if endpoint.State == policy.Serving && !endpoint.lost {
+		if endpoint.State == policy.Serving && !endpoint.crashed {
 			list = append(list, endpoint.Endpoint)
 		}
 	}
 	return list
 }
 
-// add starts an endpoint.
-func (f *simFleet) add(id string, startedAt time.Duration) policy.Endpoint {
+// addEndpoint starts an endpoint.
+func (f *simFleet) addEndpoint(id string, startedAt time.Duration) policy.Endpoint {
 	endpoint := &simEndpoint{fleet: f, Endpoint: policy.Endpoint{ID: id, Weight: 1, StartedAt: startedAt, Zone: len(f.order) % 3}}
 	f.endpoints[id] = endpoint
 	f.order = append(f.order, endpoint)
 	return endpoint.Endpoint
 }
 
-// nearestApproach is the nearest approach of any endpoint that is warming up to its bound: the
+// peakLoadRatio is the nearest approach of any endpoint that is warming up to its bound: the
 // requests that came in a time of the settings' length over N + 2 x root of N + 2, where N is
 // what the settings allow by its capacity when that time begins.
-func (f *simFleet) nearestApproach() (nearest float64) {
+func (f *simFleet) peakLoadRatio() (peak float64) {
 	for _, endpoint := range f.order {
 		if endpoint.StartedAt != 0 {
-			nearest = max(nearest, endpoint.nearestApproach())
+			peak = max(peak, endpoint.peakLoadRatio())
 		}
 	}
-	return nearest
+	return peak
 }
 
 // simGateway is one gateway of the fleet.
@@ -180,7 +180,7 @@
 	}
 	g.incarnation++
 	g.policy, g.requests = gateway, map[string]*simRequest{}
-	g.step(policy.EndpointsUpdated{Scope: policy.CachedUpdate, Endpoints: g.fleet.list()})
+	g.step(policy.EndpointsUpdated{Scope: policy.CachedUpdate, Endpoints: g.fleet.servingEndpoints()})
 }
 
 // step hands over an event and carries out what it calls for.
@@ -267,8 +267,8 @@
 type simEndpoint struct {
 	policy.Endpoint
 	fleet         *simFleet
-	lost          bool
-	idleAt        time.Duration
+	crashed       bool
+	busyUntil     time.Duration
 	waiting       int
 	utilization   float64 // share of the time that it works
 	utilizationAt time.Duration
@@ -287,7 +287,7 @@
 // receive takes in an attempt that is given up at some time; end tells its outcome.
 func (e *simEndpoint) receive(until time.Duration, end func(policy.Outcome)) {
 	f := e.fleet
-	if e.lost {
+	if e.crashed {
 		return
 	}
 	e.received = append(e.received, f.Now)
@@ -296,36 +296,36 @@
 		return
 	}
 	e.waiting++
-	begin := max(e.idleAt, f.Now)
+	begin := max(e.busyUntil, f.Now)
 	if begin >= until { // its time will be over
 		f.After(begin-f.Now, func() { e.waiting-- })
 		return
 	}
 	work := time.Duration(f.rng.ExpFloat64() / (simCapacity * e.slowStartFactor(begin)) * float64(time.Second))
-	e.idleAt = begin + work
-	f.After(e.idleAt-f.Now, func() { e.serve(work, end) })
+	e.busyUntil = begin + work
+	f.After(e.busyUntil-f.Now, func() { e.serve(work, end) })
 }
 
 // serve ends the work on an attempt.
 func (e *simEndpoint) serve(work time.Duration, end func(policy.Outcome)) {
 	f := e.fleet
 	e.waiting--
-	fade := math.Exp(-(f.Now - e.utilizationAt).Seconds())
-	e.utilization = min(e.utilization*fade+work.Seconds(), 1)
+	decay := math.Exp(-(f.Now - e.utilizationAt).Seconds())
+	e.utilization = min(e.utilization*decay+work.Seconds(), 1)
 	e.utilizationAt = f.Now
-	if !e.lost {
+	if !e.crashed {
 		f.After(simOneWayLatency, func() { end(policy.Succeeded) })
 	}
 }
 
 // restart gives an endpoint's id a new process.
 func (e *simEndpoint) restart() policy.Endpoint {
-	e.lost, e.StartedAt, e.idleAt, e.received, e.State = false, e.fleet.Now, e.fleet.Now, nil, policy.Serving
+	e.crashed, e.StartedAt, e.busyUntil, e.received, e.State = false, e.fleet.Now, e.fleet.Now, nil, policy.Serving
 	return e.Endpoint
 }
 
-// nearestApproach is that of this endpoint, see [simFleet.nearestApproach].
-func (e *simEndpoint) nearestApproach() (nearest float64) {
+// peakLoadRatio is that of this endpoint, see [simFleet.peakLoadRatio].
+func (e *simEndpoint) peakLoadRatio() (peak float64) {
 	settings := &e.fleet.settings
 	first := 0
 	for i, at := range e.received {
@@ -338,7 +338,7 @@
 			break
 		}
 		n := settings.OverloadMultiple * factor * simCapacity * settings.OverloadDuration.Seconds()
-		nearest = max(nearest, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
+		peak = max(peak, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
 	}
-	return nearest
+	return peak
 }
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -59,45 +59,45 @@
 	simUsualLoad = 0.6 * simEndpoints * simCapacity // requests a second
 )
 
-// join adds endpoints that have just started.
-func (f *simFleet) join(count int) {
+// addNewEndpoints adds endpoints that have just started.
+func (f *simFleet) addNewEndpoints(count int) {
 	var added []policy.Endpoint
 	for i := range count {
-		added = append(added, f.add(fmt.Sprint("new", i), f.Now))
+		added = append(added, f.addEndpoint(fmt.Sprint("new", i), f.Now))
 	}
-	f.update(policy.IncrementalUpdate, added...)
+	f.sendUpdate(policy.IncrementalUpdate, added...)
 }
 
-// lose removes the endpoints whose number is chosen; gateways hear of it later.
-func (f *simFleet) lose(chosen func(int) bool) (lost []*simEndpoint) {
+// crash removes the endpoints whose number is chosen; gateways hear of it later.
+func (f *simFleet) crash(chosen func(int) bool) (crashed []*simEndpoint) {
 	var removed []policy.Endpoint
 	for i, endpoint := range f.order {
 		if chosen(i) {
-			endpoint.lost, endpoint.State = true, policy.Removed
-			lost = append(lost, endpoint)
+			endpoint.crashed, endpoint.State = true, policy.Removed
+			crashed = append(crashed, endpoint)
 			removed = append(removed, endpoint.Endpoint)
 		}
 	}
-	f.After(2*time.Second, func() { f.update(policy.IncrementalUpdate, removed...) })
-	return lost
+	f.After(2*time.Second, func() { f.sendUpdate(policy.IncrementalUpdate, removed...) })
+	return crashed
 }
 
-// bringBack restarts endpoints that were lost.
-func (f *simFleet) bringBack(lost []*simEndpoint) {
+// restartEndpoints restarts crashed endpoints.
+func (f *simFleet) restartEndpoints(crashed []*simEndpoint) {
 	var restarted []policy.Endpoint
-	for _, endpoint := range lost {
+	for _, endpoint := range crashed {
 		restarted = append(restarted, endpoint.restart())
 	}
-	f.update(policy.IncrementalUpdate, restarted...)
+	f.sendUpdate(policy.IncrementalUpdate, restarted...)
 }
 
-// replace drains some endpoints, one after the other within a time, and adds a new one for each.
-func (f *simFleet) replace(count int, within time.Duration) {
+// replaceEndpoints drains some endpoints, one after the other within a time, and adds a new one for each.
+func (f *simFleet) replaceEndpoints(count int, within time.Duration) {
 	for i := range count {
 		f.After(time.Duration(i)*within/time.Duration(count), func() {
 			old := f.order[i]
 			old.State = policy.Draining
-			f.update(policy.IncrementalUpdate, old.Endpoint, f.add(fmt.Sprint("new", i), f.Now))
+			f.sendUpdate(policy.IncrementalUpdate, old.Endpoint, f.addEndpoint(fmt.Sprint("new", i), f.Now))
 		})
 	}
 }
@@ -119,14 +119,14 @@
 }
 
 var slowStartCases = []slowStartCase{
-	{"some join", simUsualLoad, 0, false, func(f *simFleet) { f.join(3) }},
-	{"one joins under a burst", 1.6 * simUsualLoad, 0, false, func(f *simFleet) { f.join(1) }},
+	{"some join", simUsualLoad, 0, false, func(f *simFleet) { f.addNewEndpoints(3) }},
+	{"one joins under a burst", 1.6 * simUsualLoad, 0, false, func(f *simFleet) { f.addNewEndpoints(1) }},
 	{"a zone back, all warming up", simUsualLoad, 0, false, func(f *simFleet) {
-		lost := f.lose(func(i int) bool { return i%3 == 0 })
-		f.After(5*time.Second, func() { f.bringBack(lost) })
+		crashed := f.crash(func(i int) bool { return i%3 == 0 })
+		f.After(5*time.Second, func() { f.restartEndpoints(crashed) })
 	}},
 	{"six in ten replaced", simUsualLoad, 0, false, func(f *simFleet) {
-		f.replace(simEndpoints*6/10, 7*time.Second)
+		f.replaceEndpoints(simEndpoints*6/10, 7*time.Second)
 	}},
 	{"all gateways restarted", simUsualLoad, 0, false, func(f *simFleet) {
 		for i := range 6 {
@@ -134,13 +134,13 @@
 		}
 		f.restartGateways()
 	}},
-	{"retried at once", 1.3 * simUsualLoad, 2, false, func(f *simFleet) { f.join(3) }},
+	{"retried at once", 1.3 * simUsualLoad, 2, false, func(f *simFleet) { f.addNewEndpoints(3) }},
 	{"few warm ones left", simUsualLoad, 0, false, func(f *simFleet) {
-		lost := f.lose(func(i int) bool { return i%6 != 0 })
-		f.After(3*time.Second, func() { f.bringBack(lost) })
+		crashed := f.crash(func(i int) bool { return i%6 != 0 })
+		f.After(3*time.Second, func() { f.restartEndpoints(crashed) })
 	}},
 	{"few warm ones left, all gateways restarted, retried at once", 1.3 * simUsualLoad, 2, true, func(f *simFleet) {
-		f.bringBack(f.lose(func(i int) bool { return i%6 != 0 }))
+		f.restartEndpoints(f.crash(func(i int) bool { return i%6 != 0 }))
 		f.restartGateways()
 	}},
 }
@@ -166,16 +166,16 @@
 
 func (c slowStartCase) run(t *testing.T, gateways int, uneven bool) {
 	f := newSimFleet(t, gateways, uneven)
-	f.offer(c.rate, simEnd, c.retries)
+	f.generateRequests(c.rate, simEnd, c.retries)
 	f.Run(simEventAt)
 	c.event(f)
 	f.Run(simEnd - f.Now)
-	nearest := f.nearestApproach()
-	t.Logf("nearest approach %.2f of the bound, %d of %d requests succeeded", nearest, f.succeeded, f.requests)
-	if nearest == 0 {
+	peak := f.peakLoadRatio()
+	t.Logf("nearest approach %.2f of the bound, %d of %d requests succeeded", peak, f.succeeded, f.requests)
+	if peak == 0 {
 		t.Error("no endpoint that is warming up got anything")
 	}
-	if nearest > 1 {
-		t.Errorf("an endpoint that is warming up got %.2f times what it can serve", nearest)
+	if peak > 1 {
+		t.Errorf("an endpoint that is warming up got %.2f times what it can serve", peak)
 	}
 }
--- a/internal/policy/validate_test.go
+++ b/internal/policy/validate_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestBadSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*policy.Settings){
+	for name, invalidate := range map[string]func(*policy.Settings){
 		"no gateways":   func(s *policy.Settings) { s.Gateways = 0 },
 		"rank":          func(s *policy.Settings) { s.GatewayIndex = 3 },
 		"no classes":    func(s *policy.Settings) { s.Classes = nil },
@@ -20,7 +20,7 @@
 		"no attempts":   func(s *policy.Settings) { s.MaxAttempts = 0 },
 	} {
 		settings := testSettings()
-		spoil(&settings)
+		invalidate(&settings)
 		if _, err := policy.New(0, settings); err == nil {
 			t.Errorf("%s: no error", name)
 		}
@@ -29,9 +29,9 @@
 
 func TestSettingsErrorNamesTheFieldAtFault(t *testing.T) {
 	for _, test := range []struct {
-		spoil func(*policy.Settings)
-		want  policy.SettingsError // without its reason
-		text  string               // part of the message
+		invalidate func(*policy.Settings)
+		want       policy.SettingsError // without its reason
+		text       string               // part of the message
 	}{
 		{func(s *policy.Settings) { s.Gateways = 0 }, policy.SettingsError{Field: "Gateways"}, "0 gateways, 5 attempts"},
 		{func(s *policy.Settings) { s.MaxAttempts = 0 }, policy.SettingsError{Field: "MaxAttempts"}, "3 gateways, 0 attempts"},
@@ -56,7 +56,7 @@
 			policy.SettingsError{Section: "plan", Index: 3, Field: "MaxConcurrent"}, "plan 3: MaxConcurrent: -1"},
 	} {
 		settings := testSettings()
-		test.spoil(&settings)
+		test.invalidate(&settings)
 		_, err := policy.New(0, settings)
 		var got *policy.SettingsError
 		if !errors.As(err, &got) {
