--- a/internal/policy/attempt_test.go
+++ b/internal/policy/attempt_test.go
@@ -8,7 +8,7 @@
 	"swiftpitch/internal/policy"
 )
 
-func TestNonIdempotentIsNeitherRetriedNorRejectedAfterItMayHaveRun(t *testing.T) {
+func TestNonIdempotentRequestFailsOnceItMayHaveRun(t *testing.T) {
 	for _, outcome := range []policy.Outcome{policy.ServerError, policy.ConnectionLost, policy.TimedOut, policy.Canceled} {
 		h := newHarness(t, testSettings(), 6)
 		id, actions := h.receive(2, 1, 1, 1)
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestIdempotentByKeyStaysInItsZoneAndWindow(t *testing.T) {
+func TestIdempotentByKeyRetryStaysInZone(t *testing.T) {
 	zones := map[string]int{}
 	for i := range 6 {
 		zones[testEndpoint(i).ID] = testEndpoint(i).Zone
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestStartedResponseIsLeftAlone(t *testing.T) {
+func TestNoHedgeOrCancelAfterResponseStarted(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].Streaming = true
 	h := newHarness(t, settings, 6)
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestNoHedgedAttemptWhileEndpointsReportThatTheyAreBusy(t *testing.T) {
+func TestNoHedgedAttemptAtHighUtilization(t *testing.T) {
 	for _, c := range []struct {
 		utilization float64
 		hedges      bool
@@ -93,7 +93,7 @@
 
 // Each wait in which the client may disconnect: for a hedged attempt, for a retry, and for the
 // counter's reply, which may come in time, late or never.
-func TestNoAttemptForADisconnectedClient(t *testing.T) {
+func TestNoAttemptAfterClientDisconnects(t *testing.T) {
 	for _, allowCancel := range []bool{true, false} {
 		settings := testSettings()
 		settings.AllowCancel = allowCancel
--- a/internal/policy/balancer_test.go
+++ b/internal/policy/balancer_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestGatewayUsesASubsetOfManyEndpoints(t *testing.T) {
+func TestGatewayUsesSubsetOfEndpoints(t *testing.T) {
 	// Found in incident i530123: hundreds of gateways, each connected to every endpoint and knowing none.
 	usedBy := func(gatewayIndex int) map[string]bool {
 		settings := testSettings()
--- a/internal/policy/endpoint_test.go
+++ b/internal/policy/endpoint_test.go
@@ -27,7 +27,7 @@
 
 // Guards a gateway that runs for long against growth: endpoints that others replace
 // under new names are forgotten.
-func TestRemovedEndpointsAreForgotten(t *testing.T) {
+func TestRemovedEndpointsFreeTheirMemory(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	replace := func(from, to int) {
 		for i := from; i < to; i++ {
@@ -51,7 +51,7 @@
 	runtime.KeepAlive(h)
 }
 
-func TestSubscribesWhereDiscoveryRequiresIt(t *testing.T) {
+func TestSubscribesToDiscoveryIfRequired(t *testing.T) {
 	settings := testSettings()
 	settings.MustSubscribe, settings.SubscriptionTimeout = true, 8*time.Second
 	gateway, err := policy.New(0, settings)
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -17,7 +17,7 @@
 // attemptsAtFaultyEndpoint offers 400 requests of a class to four endpoints, of which one fails
 // each of its attempts in the way of fail. It returns how many attempts that one got of the
 // requests after the first hundred.
-func attemptsAtFaultyEndpoint(t *testing.T, class int, fail func(*harness, policy.StartAttempt)) (late int) {
+func attemptsAtFaultyEndpoint(t *testing.T, class int, fail func(*harness, policy.StartAttempt)) (lateAttempts int) {
 	t.Helper()
 	settings := testSettings()
 	settings.AllowHedging = false
@@ -31,12 +31,12 @@
 				continue
 			}
 			if i > 100 {
-				late++
+				lateAttempts++
 			}
 			fail(h, attempt)
 		}
 	}
-	return late
+	return lateAttempts
 }
 
 func TestHangingEndpointIsEjected(t *testing.T) {
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestReadmittedEndpointsAreNotThrottledToNothing(t *testing.T) {
+func TestThrottleRecoversAfterAllEndpointsReturn(t *testing.T) {
 	// Found on a deployment: after all endpoints had been ejected and had come back, a gateway that
 	// had forwarded nothing meanwhile allowed itself nothing.
 	h := newHarness(t, testSettings(), 3)
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestAllHangingEndpointsAreNotAllEjected(t *testing.T) {
+func TestAttemptsContinueWhenAllEndpointsHang(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	attempts := 0
 	for i := range 200 {
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestEjectedEndpointsAreHealthCheckedFirstWhereAllowed(t *testing.T) {
+func TestHealthCheckPrecedesRecoveryTrial(t *testing.T) {
 	settings := testSettings()
 	settings.AllowHedging, settings.AllowHealthChecks = false, true
 	h := newHarness(t, settings, 4)
--- a/internal/policy/sequences_test.go
+++ b/internal/policy/sequences_test.go
@@ -10,8 +10,8 @@
 	"swiftpitch/internal/policy"
 )
 
-// TestRandomSequences feeds legal random events and checks the actions with an oracle of its own.
-func TestRandomSequences(t *testing.T) {
+// TestRandomEventsKeepInvariants feeds legal random events and checks the actions with an oracle of its own.
+func TestRandomEventsKeepInvariants(t *testing.T) {
 	for seed := range uint64(30) {
 		first, second := runSequence(t, seed), runSequence(t, seed)
 		if !reflect.DeepEqual(first, second) {
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -8,7 +8,7 @@
 	"swiftpitch/internal/policy"
 )
 
-func TestEndpointWarmingUpIsSpared(t *testing.T) {
+func TestWarmingUpEndpointGetsReducedLoad(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	restarted := testEndpoint(0)
 	attempts := 0
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestFleetOfEndpointsWarmingUpIsStillUsed(t *testing.T) {
+func TestRequestsForwardedWhileAllEndpointsWarmUp(t *testing.T) {
 	// With every endpoint warming up and nothing forwarded yet, a throttle by own attempts alone would
 	// give nothing for ever.
 	settings := testSettings()
@@ -147,7 +147,7 @@
 
 // Guards endpoints that are warming up against the sum of what all gateways send them, each
 // of which sees little: in no time of the settings' length does one get more than it can serve.
-func TestFleetNeverOverloadsAnEndpointWarmingUp(t *testing.T) {
+func TestFleetNeverOverloadsWarmingUpEndpoint(t *testing.T) {
 	for _, c := range slowStartCases {
 		fleets := []int{20, 30, 80, 300}
 		if c.large {
--- a/internal/policy/throttle_test.go
+++ b/internal/policy/throttle_test.go
@@ -26,7 +26,7 @@
 	return kept
 }
 
-func TestLossesAtAllEndpointsDoNotLookLikeLoad(t *testing.T) {
+func TestLossesAtAllEndpointsAreNotShedAsOverload(t *testing.T) {
 	// Found in incident ic48e92: a quarter of the attempts lost everywhere, the rest at usual latencies.
 	h := newHarness(t, testSettings(), 2)
 	var pending []pendingOutcome
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestManyGatewaysKeepQueuesShort(t *testing.T) {
+func TestAttemptsInFlightShrinkWithFleetSize(t *testing.T) {
 	// Found in incident i6186b0: each of many gateways adds its few attempts to the same endpoints.
 	inFlight := func(gateways int) (attempts int) {
 		settings := testSettings()
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestEndpointsThatAnswerNobodyInTimeGetFewerAttempts(t *testing.T) {
+func TestThrottleReducesAttemptsWhenAllTimeOut(t *testing.T) {
 	// Found in incident i2861ff: all endpoints fall behind, and a gateway of few attempts sees no queue.
 	attemptsWith := func(lostOfTen int) (attempts int) {
 		settings := testSettings()
--- a/internal/policy/validate_test.go
+++ b/internal/policy/validate_test.go
@@ -10,7 +10,7 @@
 	"swiftpitch/internal/policy"
 )
 
-func TestBadSettings(t *testing.T) {
+func TestNewRejectsInvalidSettings(t *testing.T) {
 	for name, invalidate := range map[string]func(*policy.Settings){
 		"no gateways":   func(s *policy.Settings) { s.Gateways = 0 },
 		"rank":          func(s *policy.Settings) { s.GatewayIndex = 3 },
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestSettingsErrorNamesTheFieldAtFault(t *testing.T) {
+func TestSettingsErrorNamesInvalidField(t *testing.T) {
 	for _, test := range []struct {
 		invalidate func(*policy.Settings)
 		want       policy.SettingsError // without its reason
