--- a/internal/policy/action.go
+++ b/internal/policy/action.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// Action is something that the caller of [Gateway.Step] carries out.
+// Action is an instruction that the caller of [Gateway.Step] carries out.
 type Action interface{ action() }
 
 // StartAttempt starts an attempt of a request. The attempts of a request are numbered
-// from 0 in the order of these actions. Each is owed one [AttemptEnded] event.
+// from 0 in the order of these actions. The caller answers each with one [AttemptEnded]
+// event.
 type StartAttempt struct {
 	RequestID string
 	Endpoint  string
@@ -19,21 +20,21 @@
 	Attempt   int
 }
 
-// Reject is a final answer: the request had no effect, and a retry is harmless.
+// Reject is a final answer that tells the client that a retry does no harm.
 type Reject struct {
 	RequestID  string
-	RetryAfter time.Duration // when the client should retry; 0: not said
+	RetryAfter time.Duration // how long the client should wait before a retry; 0: unspecified
 }
 
-// Fail is a final answer that promises nothing: the request may have run.
+// Fail is a final answer that leaves open whether the request has run.
 type Fail struct{ RequestID string }
 
-// AddToCounter adds Units to a number at the counter service and reads its total. It
-// is owed one [CounterReplied] event.
+// AddToCounter adds Units to a total at the counter service and reads the new total. The
+// caller answers it with one [CounterReplied] event.
 type AddToCounter struct {
-	Key   uint64        // the number's name, below 1<<63
+	Key   uint64        // identifies the total; below 1<<63
 	Units float64       // 0 only reads; may be negative
-	TTL   time.Duration // how long the counter keeps the number
+	TTL   time.Duration // how long the counter service keeps the total
 }
 
 // StartTimer asks for a [TimerFired] event once After has passed.
@@ -42,11 +43,11 @@
 	TimerID uint64
 }
 
-// CheckHealth asks an endpoint whether it serves. It is owed one [HealthCheckDone]
-// event.
+// CheckHealth starts a health check of an endpoint. The caller answers it with one
+// [HealthCheckDone] event.
 type CheckHealth struct{ Endpoint string }
 
-// WatchEndpoints asks discovery for every change from now on.
+// WatchEndpoints subscribes at discovery to all further changes of the endpoint list.
 type WatchEndpoints struct{}
 
 func (StartAttempt) action()   {}
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -1,23 +1,23 @@
-// Package policy is the pure state machine of one gateway of a metered service. It
-// decides which requests to admit, which endpoint an attempt goes to, when to retry
-// or hedge, and how to answer the client.
+// Package policy implements the decisions of one gateway as a deterministic state
+// machine: which requests to admit under the tenants' quotas, which endpoint an attempt
+// goes to, when to retry or hedge, and how to answer the client.
 //
-// The package does no I/O, starts no goroutine and reads no clock. The caller hands
+// The package does no I/O, starts no goroutine and reads no clock. The caller passes
 // every event to [Gateway.Step], with the time at which it happened, and carries out
-// the returned actions in their order. A [Gateway] belongs to one goroutine at a
-// time. Times never go backwards, and all randomness comes from [Settings.Seed]:
-// the same settings and events always give the same actions.
+// the returned actions in order. A [Gateway] must not be used by more than one goroutine
+// at a time. Times must never go backwards, and all random numbers come from
+// [Settings.Seed]: the same settings and events always give the same actions.
 //
-// Files are split by concern:
+// The files by topic:
 //
 //   - The interface: event.go, action.go, settings.go, validate.go.
 //   - The gateway itself: gateway.go composes the rest and dispatches events; timers.go
-//     and stall.go keep its timers and notice that it stood still.
+//     keeps its timers and stall.go detects that its process was suspended.
 //   - Admission within a tenant's fleet-wide quota: admission.go, tenant.go, quota.go,
 //     sparequota.go, sharedbucket.go, bucketreading.go, overquota.go, hardlimit.go,
 //     countercalls.go, incarnation.go.
-//   - Choice of endpoints: endpoint.go, balancer.go, latency.go, outlier.go,
+//   - Load balancing over endpoints: endpoint.go, balancer.go, latency.go, outlier.go,
 //     slowstart.go, throttle.go.
-//   - A request from its first attempt to its final answer: request.go, attempt.go,
+//   - The life of a request from its first attempt to its final answer: request.go, attempt.go,
 //     retry.go, hedge.go, answer.go.
 package policy
--- a/internal/policy/event.go
+++ b/internal/policy/event.go
@@ -9,21 +9,20 @@
 // Outcome is how an attempt, a health check or a call to the counter ended.
 type Outcome int
 
-// The outcomes. Those of which it says so prove that the request never ran; after any
-// other the endpoint may have run it.
+// The outcomes. [Outcome.NeverRan] reports which of them prove that the request did not run.
 const (
 	Succeeded      Outcome = iota // answered with success
 	ServerError                   // answered with an error
-	Overloaded                    // rejected before it was run; it never ran
+	Overloaded                    // rejected by the endpoint before it ran
 	TimedOut                      // no answer in time
-	ConnectFailed                 // no connection; it never ran
-	ConnectionLost                // the connection broke under the request
+	ConnectFailed                 // no connection, so it never ran
+	ConnectionLost                // the connection broke before the answer was complete
 	Canceled                      // canceled by this gateway
-	NotSent                       // never sent, as the request was done or had used up its attempts
+	NotSent                       // never sent, because the request was done or had no attempts left
 )
 
-// NeverRan reports whether an attempt with this outcome proves that its endpoint did not
-// run the request. After any other outcome it may have run.
+// NeverRan reports whether the outcome of an attempt proves that the endpoint did not run
+// the request. After any other outcome the request may have run.
 func (o Outcome) NeverRan() bool {
 	switch o {
 	case Overloaded, ConnectFailed, NotSent:
@@ -33,29 +32,28 @@
 	}
 }
 
-// EndpointState is what discovery says of an endpoint.
+// EndpointState is the lifecycle state that discovery reports for an endpoint.
 type EndpointState int
 
 // The states of an endpoint.
 const (
-	Serving  EndpointState = iota // takes new work
-	Draining                      // finishes its work and takes nothing new
+	Serving  EndpointState = iota // accepts new requests
+	Draining                      // finishes its requests and accepts no new ones
 	Removed                       // no longer exists
 )
 
-// UpdateScope says how an [EndpointsUpdated] event relates to the list known so far.
+// UpdateScope tells how an [EndpointsUpdated] event relates to the list known so far.
 type UpdateScope int
 
 // The scopes of an update.
 const (
 	IncrementalUpdate UpdateScope = iota // only the entries that changed
 	FullUpdate                           // the complete list
-	CachedUpdate                         // the complete list as the gateway last had it; may be stale
+	CachedUpdate                         // the complete list as last known to the gateway; may be stale
 	FailedUpdate                         // no list: the call to discovery failed
 )
 
-// Event is something that happened to the gateway. The caller hands it to
-// [Gateway.Step].
+// Event is an input to the gateway. The caller passes it to [Gateway.Step].
 type Event interface{ event() }
 
 // Endpoint is one entry of an endpoint list.
@@ -63,53 +61,53 @@
 	ID        string
 	Zone      int
 	Cell      int
-	Weight    float64 // relative size, where the registry knows it
-	StartedAt Time    // its last start; 0: long ago
+	Weight    float64 // relative size, if discovery knows it
+	StartedAt Time    // when its process last started; 0: long ago
 	State     EndpointState
 }
 
-// LoadReport is the load that an endpoint reports of itself. A nil value was not
-// reported.
+// LoadReport is an endpoint's report of its own load. Fields that it does not report are
+// nil.
 type LoadReport struct {
 	InFlight    *float64 // requests in progress
-	QueueLength *float64 // requests that wait
+	QueueLength *float64 // requests waiting
 	Utilization *float64 // share of its capacity in use, 0 to 1
-	LatencyMS   *float64 // usual latency in milliseconds
+	LatencyMS   *float64 // typical latency in milliseconds
 }
 
-// EndpointsUpdated is an update from discovery.
+// EndpointsUpdated is an update of the endpoint list by discovery.
 type EndpointsUpdated struct {
 	Scope     UpdateScope
-	Endpoints []Endpoint // the caller may not change them afterwards
+	Endpoints []Endpoint // the caller must not modify them afterwards
 }
 
-// RequestReceived is a client's complete request. The gateway owes it exactly one
-// final answer, unless the client disconnects first.
+// RequestReceived is a client's complete request. It gets exactly one final answer, unless
+// the client disconnects first.
 type RequestReceived struct {
 	RequestID      string
 	Class          int // index into [Settings.Classes]
 	Plan           int // index into [Settings.Plans]
 	Tenant         uint64
 	Timeout        time.Duration // until the client gives up on this request
-	Units          float64       // what it counts against quota and hard limit
-	TenantGateways int           // gateways through which the tenant's requests come
+	Units          float64       // units that it takes from the quota and the hard limit
+	TenantGateways int           // number of gateways that receive the tenant's requests
 	IsRetry        bool          // marked by the client as a retry
 }
 
-// AttemptEnded is the one outcome of an attempt.
+// AttemptEnded reports how an attempt ended. There is exactly one for each attempt.
 type AttemptEnded struct {
 	RequestID   string
 	Attempt     int // number of the attempt, from 0
 	Endpoint    string
 	Outcome     Outcome
 	Latency     time.Duration // since the attempt was started
-	RequestDone bool          // the request is done, by this outcome or before it
-	ActualUnits float64       // units really used, where endpoints report them; else 0
-	RateUsed    int           // 1 + percent of the plan's rate in use; 0: not reported
+	RequestDone bool          // the request is done, by this outcome or earlier
+	ActualUnits float64       // units actually used; 0: not reported
+	RateUsed    int           // percentage of the plan's rate in use, plus 1; 0: not reported
 	Report      LoadReport
 }
 
-// ResponseStarted says that the answer of an attempt began to flow to the client.
+// ResponseStarted reports that the response of an attempt has begun to stream to the client.
 type ResponseStarted struct {
 	RequestID string
 	Attempt   int
@@ -125,18 +123,19 @@
 	Report   LoadReport
 }
 
-// ClientDisconnected says that a request's client is gone and is owed nothing more.
+// ClientDisconnected reports that the client of a request has disconnected. The request
+// needs no answer.
 type ClientDisconnected struct{ RequestID string }
 
-// CounterReplied is the result of one [AddToCounter] action. Calls for the same key
-// are answered in their order.
+// CounterReplied is the result of one [AddToCounter] action. Replies for the same key come
+// in the order of the calls.
 type CounterReplied struct {
 	Key     uint64
 	Outcome Outcome
 	Total   float64 // the counter's total after the addition, if Outcome is Succeeded
 }
 
-// TimerFired says that the timer of a [StartTimer] action ran out.
+// TimerFired reports that the timer of a [StartTimer] action has expired.
 type TimerFired struct{ TimerID uint64 }
 
 func (EndpointsUpdated) event()   {}
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Idempotency says what a further attempt of a request may do.
+// Idempotency tells whether a request may run more than once.
 type Idempotency int
 
-// The kinds of idempotency, the least delicate first.
+// The kinds of idempotency, from the least to the most restrictive.
 const (
-	Idempotent      Idempotency = iota // any number of attempts does no harm
-	IdempotentByKey                    // duplicates are dropped within a scope and a window
-	NonIdempotent                      // must never run twice
+	Idempotent      Idempotency = iota // may run any number of times
+	IdempotentByKey                    // endpoints drop duplicates within a scope and a time window
+	NonIdempotent                      // must not run twice
 )
 
-// DedupScope names the endpoints that drop duplicates of a request with an
+// DedupScope tells which endpoints recognize duplicates of a request that has an
 // idempotency key.
 type DedupScope int
 
@@ -23,19 +23,19 @@
 	DedupCell                    // the endpoints of one cell
 )
 
-// Class describes one kind of request.
+// Class describes one class of requests.
 type Class struct {
-	LatencyObjective time.Duration // an answer within it earns the whole priority weight
-	Deadline         time.Duration // how long a client waits over all its retries
+	LatencyObjective time.Duration // an answer within this time earns the full priority weight
+	Deadline         time.Duration // how long a client waits in total, over all its retries
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // for IdempotentByKey only
 	DedupWindow      time.Duration // for IdempotentByKey only: how long duplicates are dropped
 	LateWeight       float64       // share of the weight earned between objective and deadline
-	PriorityWeight   float64       // what an answer is worth, relative to other classes
-	Streaming        bool          // the answer flows to the client as it comes
+	PriorityWeight   float64       // value of an answer relative to other classes
+	Streaming        bool          // the response is streamed to the client
 }
 
-// Plan is what a tenant may use, counted over all gateways together. Quota and hard
+// Plan holds the limits of a tenant, which apply to all gateways together. Quota and hard
 // limit are token buckets.
 type Plan struct {
 	Rate               float64 // units per second that refill the quota; 0: no quota
@@ -43,40 +43,40 @@
 	MaxConcurrent      int     // attempts in flight at once; 0: no limit
 	HardLimitRate      float64 // units per second that refill the hard limit; 0: no hard limit
 	HardLimitBurst     float64 // units that the hard limit's bucket holds
-	HardLimitTolerance float64 // units by which that bucket may go below zero
+	HardLimitTolerance float64 // units by which the hard limit's bucket may go below zero
 	PriorityWeight     float64 // factor on the class's priority weight
 	OverQuotaWeight    float64 // share of the weight that a request beyond the quota earns
-	OverQuotaCost      float64 // share of the weight that forwarding it beyond the quota costs
+	OverQuotaCost      float64 // share of the weight that forwarding a request beyond the quota costs
 }
 
-// Settings is what a gateway is told when it starts. All fields are facts about the
-// deployment; none of them tunes a decision.
+// Settings describes the deployment to a gateway when it starts. All fields are facts about
+// the deployment; none is a tuning parameter.
 type Settings struct {
-	Seed                uint64 // of all randomness of this incarnation
+	Seed                uint64 // for all random numbers of this incarnation
 	GatewayIndex        int    // number of this gateway, from 0
-	Gateways            int    // size of the fleet
+	Gateways            int    // number of gateways in the fleet
 	Zone                int    // zone of this gateway
 	Classes             []Class
 	Plans               []Plan
-	MustSubscribe       bool          // discovery sends nothing without a subscription
-	SubscriptionTimeout time.Duration // after this long without one, changes count as notified
+	MustSubscribe       bool          // discovery sends no changes without a subscription
+	SubscriptionTimeout time.Duration // without a subscription for this long, the gateway counts as notified of changes
 	CounterEnabled      bool          // the counter service may be called
-	CounterTimeout      time.Duration // a call to the counter without an answer ends after this
+	CounterTimeout      time.Duration // a counter call without a reply ends after this
 	MeterPeriod         time.Duration // period of the delayed usage meter; 0: none
-	ActualUnitsReported bool          // answers report the units really used
-	MaxRequestUnits     float64       // the most units that one request counts; 0: not known
+	ActualUnitsReported bool          // responses report the units actually used
+	MaxRequestUnits     float64       // most units that one request can take; 0: unknown
 
-	SlowStartCapacity float64       // share of its capacity that an endpoint has at its start
-	SlowStartDuration time.Duration // until it has all of it
-	OverloadMultiple  float64       // a warming-up endpoint fails under this times its capacity
-	OverloadDuration  time.Duration // if that lasts for this long
+	SlowStartCapacity float64       // share of its full capacity that an endpoint has when it starts
+	SlowStartDuration time.Duration // from an endpoint's start until it has its full capacity
+	OverloadMultiple  float64       // load, in multiples of its current capacity, that overloads a warming-up endpoint
+	OverloadDuration  time.Duration // how long such a load must last to make the endpoint fail
 
 	AllowCancel               bool          // attempts may be canceled
-	AllowHealthChecks         bool          // endpoints may be asked for their health
+	AllowHealthChecks         bool          // endpoints may be health-checked
 	AllowHedging              bool          // two attempts of a request may be in flight at once
-	AllowRetryAfter           bool          // clients heed Retry-After
-	MaxAttempts               int           // of one request
-	MaxRetryAfter             time.Duration // the longest Retry-After that clients heed
-	CrossZoneCost             float64       // cost of an attempt that leaves the zone
-	LoadReportsInHealthChecks bool          // load reports come with health checks only
+	AllowRetryAfter           bool          // clients honor Retry-After
+	MaxAttempts               int           // most attempts of one request
+	MaxRetryAfter             time.Duration // longest Retry-After that clients honor
+	CrossZoneCost             float64       // relative cost of an attempt in another zone
+	LoadReportsInHealthChecks bool          // load reports come only with health checks
 }
