--- a/internal/policy/gateway.go
+++ b/internal/policy/gateway.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// seedStream is the constant second word of the generator's seed: [Settings.Seed] alone
-// tells the random numbers of two incarnations apart.
+// seedStream is the constant second half of the random generator's seed: only the first
+// half, [Settings.Seed], differs between incarnations.
 const seedStream = 0x62656c6c
 
-// Gateway is the state machine of one gateway: it turns events into actions, see the
-// package comment. It is not safe for concurrent use.
+// Gateway is the state machine of one gateway: it turns events into actions, as described
+// in the package comment. It is not safe for concurrent use.
 type Gateway struct {
 	settings Settings
 	rng      *rand.Rand
-	now      Time     // of the event that is handled
-	out      []Action // that it has called for so far
+	now      Time     // time of the current event
+	out      []Action // actions of the current event so far
 
 	tenants  map[uint64]*tenantState
 	requests map[string]*request
@@ -36,8 +36,8 @@
 	hedgeLimiter hedgeLimiter
 }
 
-// New returns a gateway that starts at now and knows nothing but its settings. Its
-// errors are of type [*SettingsError].
+// New returns a gateway that starts at now with no state but its settings. For invalid
+// settings it returns a [*SettingsError].
 func New(now Time, settings Settings) (*Gateway, error) {
 	if err := validateSettings(&settings); err != nil {
 		return nil, err
@@ -67,8 +67,8 @@
 	return g, nil
 }
 
-// Step takes one event that happened at now and appends the actions it calls for to
-// out. The caller carries these out in their order.
+// Step handles one event that happened at now. It appends the resulting actions to out,
+// which the caller carries out in order.
 func (g *Gateway) Step(now Time, ev Event, out []Action) []Action {
 	g.now = now
 	g.out = out
@@ -79,7 +79,7 @@
 	return out
 }
 
-// dispatch hands an event to the concern that it belongs to.
+// dispatch calls the handler for the type of an event.
 func (g *Gateway) dispatch(ev Event) {
 	switch ev := ev.(type) {
 	case EndpointsUpdated:
@@ -101,11 +101,11 @@
 	}
 }
 
-// emit appends an action to those of the running Step.
+// emit appends an action to the result of the current Step.
 func (g *Gateway) emit(a Action) { g.out = append(g.out, a) }
 
-// splitMix64 is a fixed scrambling of 64 bits (the finaliser of SplitMix64). All gateways
-// must agree on it: counter keys come of it.
+// splitMix64 is the finalizer of SplitMix64, a fixed hash of 64 bits. All gateways must
+// use the same one, because they derive counter keys from it.
 func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -113,7 +113,8 @@
 	return x ^ x>>31
 }
 
-// seconds converts a number of seconds, bounded so that no Duration overflows.
+// seconds converts a number of seconds to a Duration, limited to 1e6 so that it cannot
+// overflow.
 func seconds(s float64) time.Duration {
 	return time.Duration(min(s, 1e6) * float64(time.Second))
 }
--- a/internal/policy/stall.go
+++ b/internal/policy/stall.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	tickPeriod          = 100 * time.Millisecond // between the timers by which stalls are noticed
-	stallThreshold      = 250 * time.Millisecond // a tick later than this: the process was stalled
-	stallRecoveryPeriod = 30 * time.Second       // requests do not wait for the counter for this long after a stall
+	tickPeriod          = 100 * time.Millisecond // between the ticks that detect stalls
+	stallThreshold      = 250 * time.Millisecond // a tick that is later than this means a stall
+	stallRecoveryPeriod = 30 * time.Second       // after a stall, requests do not wait for the counter for this long
 )
 
-// stallDetector notices by late timers that this gateway did not run for a while:
-// its process was suspended or starved, and events have piled up.
+// stallDetector detects by late ticks that this gateway did not run for a while: its
+// process was suspended or got no CPU time, and events have queued up.
 type stallDetector struct {
 	nextTick  Time // when the next tick is due; 0 before the first event
-	stalledAt Time // when the last stall was noticed
+	stalledAt Time // when the last stall was detected
 }
 
-// newStallDetector returns a detector that has seen no stall lately.
+// newStallDetector returns a detector without a recent stall.
 func newStallDetector(now Time) stallDetector {
 	return stallDetector{stalledAt: now - stallRecoveryPeriod}
 }
 
-// observe takes the time of an event. It reports whether a tick was due, after
-// which the next one is to be started.
+// observe records the time of an event. It reports whether a tick was due, in which case
+// the caller starts the timer of the next one.
 func (d *stallDetector) observe(now Time) bool {
 	if now < d.nextTick {
 		return false
@@ -33,13 +33,13 @@
 	return true
 }
 
-// recentlyStalled reports whether requests should not be held for a counter call,
-// as they may have been waiting for long in the backlog of a stall.
+// recentlyStalled reports whether a stall was so recent that requests should not be held
+// for a counter call: they may have waited long in the backlog already.
 func (d *stallDetector) recentlyStalled(now Time) bool {
 	return now-d.stalledAt < stallRecoveryPeriod
 }
 
-// tick keeps a timer running, so that a stall is noticed even when no event comes.
+// tick keeps a timer running, so that a stall is detected even without other events.
 func (g *Gateway) tick() {
 	if g.stalls.observe(g.now) {
 		g.startTimer(tickPeriod, func() {})
--- a/internal/policy/validate.go
+++ b/internal/policy/validate.go
@@ -5,13 +5,13 @@
 // SettingsError is the error of [New] for settings that no gateway can run with.
 // Callers get at it with [errors.As].
 type SettingsError struct {
-	Section string // "class" or "plan" where an entry of these lists is at fault, else ""
+	Section string // "class" or "plan" if an entry of one of these lists is invalid, else ""
 	Index   int    // of that entry, from 0
-	Field   string // name of the field of [Settings], [Class] or [Plan]
-	Reason  string // what is wrong with it, with the values at fault
+	Field   string // name of the invalid field of [Settings], [Class] or [Plan]
+	Reason  string // why it is invalid, with the invalid values
 }
 
-// Error names the entry at fault and says what is wrong with it.
+// Error names the invalid entry and says what is wrong with it.
 func (e *SettingsError) Error() string {
 	if e.Section == "" {
 		return e.Reason
@@ -19,7 +19,7 @@
 	return fmt.Sprintf("%s %d: %s: %s", e.Section, e.Index, e.Field, e.Reason)
 }
 
-// validateSettings returns the first fault of the settings, nil if there is none.
+// validateSettings returns an error for the first invalid field of the settings.
 func validateSettings(settings *Settings) error {
 	if err := validateFleet(settings); err != nil {
 		return err
@@ -40,18 +40,18 @@
 	return nil
 }
 
-// validateFleet checks the counts that every gateway needs.
+// validateFleet checks the size of the fleet and of the lists, and the number of attempts.
 func validateFleet(settings *Settings) error {
 	invalid := func(field, format string, values ...any) error {
 		return &SettingsError{Field: field, Reason: fmt.Sprintf(format, values...)}
 	}
 	switch {
 	case settings.Gateways < 1:
-		return invalid("Gateways", "%d gateways, %d attempts: one is the least", settings.Gateways, settings.MaxAttempts)
+		return invalid("Gateways", "%d gateways, %d attempts: both must be at least 1", settings.Gateways, settings.MaxAttempts)
 	case settings.MaxAttempts < 1:
-		return invalid("MaxAttempts", "%d gateways, %d attempts: one is the least", settings.Gateways, settings.MaxAttempts)
+		return invalid("MaxAttempts", "%d gateways, %d attempts: both must be at least 1", settings.Gateways, settings.MaxAttempts)
 	case settings.GatewayIndex < 0 || settings.GatewayIndex >= settings.Gateways:
-		return invalid("GatewayIndex", "rank %d is not among %d gateways", settings.GatewayIndex, settings.Gateways)
+		return invalid("GatewayIndex", "gateway index %d is out of range for %d gateways", settings.GatewayIndex, settings.Gateways)
 	case len(settings.Classes) == 0:
 		return invalid("Classes", "no classes")
 	case len(settings.Plans) == 0:
@@ -60,18 +60,18 @@
 	return nil
 }
 
-// validateTimes checks what is known of slow start and of the counter.
+// validateTimes checks the settings of slow start and the counter timeout.
 func validateTimes(settings *Settings) error {
 	invalid := func(field string, value any, reason string) error {
 		return &SettingsError{Field: field, Reason: fmt.Sprintf("%s %v: %s", field, value, reason)}
 	}
 	switch {
 	case !(settings.SlowStartCapacity >= 0 && settings.SlowStartCapacity <= 1): // also true of NaN
-		return invalid("SlowStartCapacity", settings.SlowStartCapacity, "outside 0 to 1")
+		return invalid("SlowStartCapacity", settings.SlowStartCapacity, "must be between 0 and 1")
 	case settings.SlowStartDuration < 0:
-		return invalid("SlowStartDuration", settings.SlowStartDuration, "negative")
+		return invalid("SlowStartDuration", settings.SlowStartDuration, "must not be negative")
 	case settings.CounterTimeout < 0:
-		return invalid("CounterTimeout", settings.CounterTimeout, "negative")
+		return invalid("CounterTimeout", settings.CounterTimeout, "must not be negative")
 	}
 	return nil
 }
@@ -93,7 +93,7 @@
 
 func validatePlan(index int, plan *Plan) error {
 	invalid := func(field string, value any) error {
-		return &SettingsError{Section: "plan", Index: index, Field: field, Reason: fmt.Sprintf("%v is negative or no number", value)}
+		return &SettingsError{Section: "plan", Index: index, Field: field, Reason: fmt.Sprintf("%v is negative or not a number", value)}
 	}
 	limits := []struct {
 		field string
--- a/internal/policy/validate_test.go
+++ b/internal/policy/validate_test.go
@@ -13,7 +13,7 @@
 func TestNewRejectsInvalidSettings(t *testing.T) {
 	for name, invalidate := range map[string]func(*policy.Settings){
 		"no gateways":   func(s *policy.Settings) { s.Gateways = 0 },
-		"rank":          func(s *policy.Settings) { s.GatewayIndex = 3 },
+		"gateway index": func(s *policy.Settings) { s.GatewayIndex = 3 },
 		"no classes":    func(s *policy.Settings) { s.Classes = nil },
 		"no plans":      func(s *policy.Settings) { s.Plans = nil },
 		"negative rate": func(s *policy.Settings) { s.Plans[0].Rate = -1 },
@@ -22,7 +22,7 @@
 		settings := testSettings()
 		invalidate(&settings)
 		if _, err := policy.New(0, settings); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: New returned no error", name)
 		}
 	}
 }
@@ -30,12 +30,12 @@
 func TestSettingsErrorNamesInvalidField(t *testing.T) {
 	for _, test := range []struct {
 		invalidate func(*policy.Settings)
-		want       policy.SettingsError // without its reason
-		text       string               // part of the message
+		want       policy.SettingsError // its Reason is not compared
+		text       string               // must be part of the message
 	}{
 		{func(s *policy.Settings) { s.Gateways = 0 }, policy.SettingsError{Field: "Gateways"}, "0 gateways, 5 attempts"},
 		{func(s *policy.Settings) { s.MaxAttempts = 0 }, policy.SettingsError{Field: "MaxAttempts"}, "3 gateways, 0 attempts"},
-		{func(s *policy.Settings) { s.GatewayIndex = -1 }, policy.SettingsError{Field: "GatewayIndex"}, "rank -1"},
+		{func(s *policy.Settings) { s.GatewayIndex = -1 }, policy.SettingsError{Field: "GatewayIndex"}, "gateway index -1"},
 		{func(s *policy.Settings) { s.Classes = nil }, policy.SettingsError{Field: "Classes"}, "no classes"},
 		{func(s *policy.Settings) { s.Plans = nil }, policy.SettingsError{Field: "Plans"}, "no plans"},
 		{func(s *policy.Settings) { s.SlowStartCapacity = 1.5 }, policy.SettingsError{Field: "SlowStartCapacity"}, "1.5"},
@@ -60,14 +60,14 @@
 		_, err := policy.New(0, settings)
 		var got *policy.SettingsError
 		if !errors.As(err, &got) {
-			t.Errorf("want an error for %+v, got %v", test.want, err)
+			t.Errorf("got error %v, want a SettingsError for %+v", err, test.want)
 			continue
 		}
 		if got.Section != test.want.Section || got.Index != test.want.Index || got.Field != test.want.Field {
-			t.Errorf("got an error for %s %d field %s, want %+v", got.Section, got.Index, got.Field, test.want)
+			t.Errorf("got a SettingsError for section %q, index %d, field %s; want %+v", got.Section, got.Index, got.Field, test.want)
 		}
 		if !strings.Contains(err.Error(), test.text) {
-			t.Errorf("the message %q lacks %q", err, test.text)
+			t.Errorf("message %q does not contain %q", err, test.text)
 		}
 	}
 }
