--- a/internal/policy/answer.go
+++ b/internal/policy/answer.go
@@ -5,8 +5,9 @@
 // keepNone makes cancelAttemptsExcept cancel every attempt.
 const keepNone = -1
 
-// rejectOrFail ends a request that was not served: with a rejection that advises to retry
-// after a while where a retry does no harm, else with a failure that promises nothing.
+// rejectOrFail ends a request that was not served. It rejects the request if a retry by the
+// client is safe, and fails it otherwise. A rejection carries retryAfter, up to the longest
+// one that clients honor.
 func (g *Gateway) rejectOrFail(r *request, retryAfter time.Duration) {
 	switch {
 	case !r.clientMayRetry():
@@ -19,14 +20,15 @@
 	g.finish(r)
 }
 
-// clientDisconnected ends a request whose client waits no more.
+// clientDisconnected ends a request whose client has disconnected.
 func (g *Gateway) clientDisconnected(ev ClientDisconnected) {
 	if r := g.requests[ev.RequestID]; r != nil {
 		g.finish(r)
 	}
 }
 
-// finish ends a request and cancels its attempts in flight.
+// finish marks a request as done and cancels its attempts in flight, unless a response is
+// already streaming to the client.
 func (g *Gateway) finish(r *request) {
 	if !r.done && !r.responseStarted {
 		g.cancelAttemptsExcept(r, keepNone)
@@ -35,7 +37,8 @@
 	g.removeIfDone(r)
 }
 
-// cancelAttemptsExcept cancels the attempts in flight but the one numbered keep.
+// cancelAttemptsExcept cancels the attempts in flight except number keep, if attempts may
+// be canceled.
 func (g *Gateway) cancelAttemptsExcept(r *request, keep int) {
 	if !g.settings.AllowCancel {
 		return
@@ -47,7 +50,7 @@
 	}
 }
 
-// removeIfDone forgets a request that has its answer and has no attempt in flight.
+// removeIfDone removes a request that is done and has no attempt in flight.
 func (g *Gateway) removeIfDone(r *request) {
 	if r.done && r.inFlight() == 0 {
 		delete(g.requests, r.id)
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -17,8 +17,9 @@
 	g.scheduleHedge(r, expectedLatency)
 }
 
-// findAttempt returns an attempt and its request; nil if there is no such attempt, or it
-// is forgotten. The attempt is valid until the next one of its request starts.
+// findAttempt returns an attempt and its request, or nil if the attempt is unknown or its
+// request was removed. The pointer to the attempt is valid until the request's next attempt
+// starts.
 func (g *Gateway) findAttempt(requestID string, number int) (*request, *attempt) {
 	r := g.requests[requestID]
 	if r == nil || number < 0 || number >= len(r.attempts) {
@@ -27,7 +28,8 @@
 	return r, &r.attempts[number]
 }
 
-// responseStarted handles an answer that has begun to flow to the client: it alone goes on.
+// responseStarted handles a response that has begun to stream to the client: the other
+// attempts of the request are canceled.
 func (g *Gateway) responseStarted(ev ResponseStarted) {
 	r, a := g.findAttempt(ev.RequestID, ev.Attempt)
 	if a == nil {
@@ -38,8 +40,8 @@
 	g.cancelAttemptsExcept(r, ev.Attempt)
 }
 
-// attemptEnded handles an attempt's outcome: it learns from it, and the request has its
-// answer or goes on elsewhere.
+// attemptEnded handles an attempt's outcome: it updates the statistics, corrects the units
+// charged, and then finishes the request or retries it.
 func (g *Gateway) attemptEnded(ev AttemptEnded) {
 	r, a := g.findAttempt(ev.RequestID, ev.Attempt)
 	if a == nil || !a.inFlight {
@@ -57,7 +59,8 @@
 	g.finishOrRetry(r, &ev)
 }
 
-// recordOutcome takes an attempt's outcome into account wherever endpoints are judged by it.
+// recordOutcome updates the throttle, the latency estimates, the outlier detector and the
+// hedge limiter with an attempt's outcome.
 func (g *Gateway) recordOutcome(r *request, a *attempt, ev *AttemptEnded) {
 	latency := ev.Latency.Seconds()
 	g.throttle.attemptEnded(g.now, ev.Outcome)
@@ -68,7 +71,8 @@
 	}
 }
 
-// finishOrRetry ends a request after an attempt's outcome, waits for another attempt, or retries.
+// finishOrRetry finishes a request after an attempt's outcome, waits for an attempt that is
+// still in flight, or retries.
 func (g *Gateway) finishOrRetry(r *request, ev *AttemptEnded) {
 	switch {
 	case ev.RequestDone || ev.Outcome == Succeeded:
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	attemptTimeoutShare = 0.97 // part of the latency objective after which an attempt is given up
-	minLateWeight       = 0.3  // late weight from which an attempt is left to run past the objective
+	attemptTimeoutShare = 0.97 // an attempt times out after this share of the latency objective
+	minLateWeight       = 0.3  // with at least this LateWeight, attempts may run past the latency objective
 )
 
 // attempt is one attempt of a request at an endpoint.
@@ -12,12 +12,13 @@
 	endpoint       *endpoint
 	startedAt      Time
 	inFlight       bool // no outcome yet
-	neverRan       bool // its outcome tells that no endpoint ran it
-	inFlightBefore int  // attempts of ours at the endpoint when it started
+	neverRan       bool // its outcome proves that the endpoint did not run it
+	inFlightBefore int  // this gateway's attempts in flight at the endpoint when it started
 	recoveryTrial  bool // the endpoint was ejected when it started
 }
 
-// request is a client's request until it has its answer and no attempt is in flight.
+// request is the state of a client's request, kept until it is answered and has no attempt
+// in flight.
 type request struct {
 	id                    string
 	classIndex            int
@@ -25,21 +26,21 @@
 	tenant                *tenantState
 	units                 float64
 	chargedToSharedBucket bool // its units were taken from the tenant's shared bucket
-	objectiveAt           Time // an answer later than this earns little
-	deadline              Time // the client gives up
+	objectiveAt           Time // later answers earn only the late weight
+	deadline              Time // when the client gives up
 	attempts              []attempt
 	done                  bool // it has its final answer
-	responseStarted       bool // its answer has begun to flow to the client
+	responseStarted       bool // a response has begun to stream to the client
 	isRetry               bool // marked by the client as a retry
 }
 
-// allowsAttemptAt reports whether an attempt at ep does no harm beside the earlier ones:
-// what may have run is repeated only where its class allows it.
+// allowsAttemptAt reports whether an attempt at ep is safe after the earlier ones: a
+// request that may have run is repeated only where its class allows it.
 func (r *request) allowsAttemptAt(ep *endpoint, now Time) bool {
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if a.endpoint == ep {
-			return false // another attempt belongs elsewhere
+			return false // at most one attempt for each endpoint
 		}
 		if a.neverRan || r.class.Idempotency == Idempotent {
 			continue
@@ -54,7 +55,7 @@
 	return true
 }
 
-// covers reports whether b drops what a has run already.
+// covers reports whether endpoint b drops duplicates of requests that endpoint a has run.
 func (s DedupScope) covers(a, b *endpoint) bool {
 	switch s {
 	case DedupZone:
@@ -77,8 +78,9 @@
 	return n
 }
 
-// attemptTimeout is how long an attempt that starts now may take, 0 for until the client
-// gives up: past the latency objective only what still earns something then goes on.
+// attemptTimeout returns the timeout of an attempt that starts now, or 0 if it may run until
+// the client gives up. An attempt runs past the latency objective only if a late answer
+// earns enough weight, if the response is streamed, or if it starts after the objective.
 func (r *request) attemptTimeout(now Time) time.Duration {
 	if r.class.LateWeight >= minLateWeight || r.class.Streaming || r.objectiveAt <= now {
 		return 0
@@ -86,8 +88,8 @@
 	return r.objectiveAt - now
 }
 
-// clientMayRetry reports whether a retry by the client, which may reach any endpoint, does
-// no harm beside the attempts so far.
+// clientMayRetry reports whether a retry by the client, which may reach any endpoint, is
+// safe after the attempts so far.
 func (r *request) clientMayRetry() bool {
 	if r.class.Idempotency == Idempotent {
 		return true
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -1,28 +1,28 @@
 package policy
 
 const (
-	maxAttempts           = 4    // attempts of one request, whatever the settings allow
-	retryTokensPerRequest = 0.2  // retries that each first attempt pays for
-	maxRetryTokens        = 20.0 // retries that may be saved up
+	maxAttempts           = 4    // upper limit on Settings.MaxAttempts
+	retryTokensPerRequest = 0.2  // retry tokens that each first attempt adds
+	maxRetryTokens        = 20.0 // retry tokens that the budget can hold
 )
 
-// retryBudget limits retries and hedged attempts to a share of first attempts, so that
-// they cannot multiply the load on endpoints that already fail.
+// retryBudget limits retries and hedged attempts to a share of the first attempts, so that
+// they cannot multiply the load on endpoints that already fail. Each of them costs one token.
 type retryBudget struct{ tokens float64 }
 
 func newRetryBudget() retryBudget { return retryBudget{tokens: maxRetryTokens / 2} }
 
-// deposit credits one first attempt.
+// deposit adds the tokens for one first attempt.
 func (b *retryBudget) deposit() { b.tokens = min(maxRetryTokens, b.tokens+retryTokensPerRequest) }
 
-// allows reports whether one more attempt can be paid for.
+// allows reports whether the budget has a token for one more attempt.
 func (b *retryBudget) allows() bool { return b.tokens >= 1 }
 
-// withdraw pays for one further attempt. The caller has made sure that the budget allows it.
+// withdraw takes the token for one more attempt. The caller must have checked allows.
 func (b *retryBudget) withdraw() { b.tokens-- }
 
-// retry starts a further attempt if the class, the time left, the retry budget and the
-// endpoints allow it, and reports whether it did.
+// retry starts another attempt, a retry or a hedged one, if the class, the time left, the
+// retry budget and the endpoints allow it, and reports whether it did.
 func (g *Gateway) retry(r *request) bool {
 	if !g.mayRetry(r) {
 		return false
@@ -36,7 +36,7 @@
 	return true
 }
 
-// mayRetry reports whether a further attempt of r may start, as far as that does not
+// mayRetry reports whether another attempt of r may start, leaving aside conditions that
 // depend on the endpoint.
 func (g *Gateway) mayRetry(r *request) bool {
 	if len(r.attempts) >= min(maxAttempts, g.settings.MaxAttempts) {
