--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -54,7 +54,7 @@
 	g.recordOutcome(r, a, &ev)
 	if ev.Outcome == Succeeded && !r.done && g.settings.ActualUnitsReported && ev.ActualUnits > 0 {
 		r.tenant.tokens -= ev.ActualUnits - r.units
-		g.settle(r, ev.ActualUnits)
+		g.settleBucketCharge(r, ev.ActualUnits)
 	}
 	g.finishOrRetry(r, &ev)
 }
