--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -7,7 +7,7 @@
 		startedAt:      g.now,
 		inFlight:       true,
 		inFlightBefore: ep.inFlight,
-		recoveryTrial:  ep.ejected,
+		isTrial:        ep.ejected,
 	})
 	g.throttle.attemptStarted(g.now)
 	ep.attemptStarted(g.now)
--- a/internal/policy/balancer.go
+++ b/internal/policy/balancer.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// scan accumulates what one pass over the candidates finds. It lives on the stack of pick.
-type scan struct {
+// candidateSelection accumulates what one pass over the candidates finds. It lives on the stack of pick.
+type candidateSelection struct {
 	now            Time
 	honorEjections bool
 
@@ -54,7 +54,7 @@
 // latency in seconds; nil if there is none.
 func (b *balancer) pick(now Time, r *request) (*endpoint, float64) {
 	listed, healthy := b.ejectOutliers(now)
-	s := scan{
+	s := candidateSelection{
 		now: now,
 		// When most look like outliers, the cause is not with them: go by the expected
 		// latencies alone.
@@ -67,7 +67,7 @@
 		s.bestLatency = b.latencies.expected(now, s.warmingUp, r.classIndex)
 	}
 	if s.best != nil && s.best.ejected && s.honorEjections {
-		s.best.beginTrial()
+		s.best.startTrial()
 		s.bestLatency = 0
 	}
 	return s.best, s.bestLatency
@@ -91,7 +91,7 @@
 
 // scanCandidates examines the first endpoints that may take an attempt of r, and more of
 // them only until one is found that can.
-func (b *balancer) scanCandidates(s *scan, r *request) {
+func (b *balancer) scanCandidates(s *candidateSelection, r *request) {
 	remaining := subsetSize
 	for _, ep := range b.endpoints.list {
 		if !ep.listed || !r.allowsAttemptAt(ep, s.now) {
@@ -106,7 +106,7 @@
 }
 
 // examine takes one candidate into account.
-func (b *balancer) examine(s *scan, r *request, ep *endpoint) {
+func (b *balancer) examine(s *candidateSelection, r *request, ep *endpoint) {
 	latency := b.latencies.expected(s.now, ep, r.classIndex)
 	score := b.score(ep, latency)
 	factor := b.settings.slowStartFactor(s.now, ep)
@@ -114,7 +114,7 @@
 	s.candidates++
 	switch {
 	case ep.ejected && s.honorEjections:
-		if !b.outliers.allowTrial(s.now, ep, r) {
+		if !b.outliers.requestTrial(s.now, ep, r) {
 			return
 		}
 		score = 0
@@ -152,7 +152,7 @@
 // maxWarmUpShare, also where too few endpoints are left for that load, and of load that
 // nobody answers next to nothing: all gateways together stay well below what makes it
 // fall over.
-func (b *balancer) preferWarmingUp(s *scan, listed int) bool {
+func (b *balancer) preferWarmingUp(s *candidateSelection, listed int) bool {
 	if s.warmingUp == nil || s.bestScore <= 0 {
 		return false
 	}
--- a/internal/policy/endpoint.go
+++ b/internal/policy/endpoint.go
@@ -10,7 +10,7 @@
 
 const (
 	maxWatchRetryDelay = time.Second // longest wait before a failed subscription is asked for again
-	maxWatchRetries    = 4           // times that it may be asked for within the subscription timeout
+	minWatchRetries    = 4           // times that it may be asked for within the subscription timeout
 )
 
 // endpoint is what this gateway knows of one discovered endpoint.
@@ -109,7 +109,7 @@
 	case CachedUpdate:
 		g.emit(WatchEndpoints{})
 	case FailedUpdate:
-		wait := min(g.settings.SubscriptionTimeout/maxWatchRetries, maxWatchRetryDelay)
+		wait := min(g.settings.SubscriptionTimeout/minWatchRetries, maxWatchRetryDelay)
 		g.startTimer(wait, func() { g.emit(WatchEndpoints{}) })
 	}
 }
--- a/internal/policy/hedge.go
+++ b/internal/policy/hedge.go
@@ -4,7 +4,7 @@
 	hedgeLatencyMultiple = 3.0  // delay of a hedged attempt in multiples of the expected latency
 	minHedgeDelayShare   = 0.15 // shortest delay as a share of the latency objective
 	maxHedgeDelayShare   = 0.5  // longest delay as a share of the latency objective
-	maxHedgeUtilization  = 0.5  // mean utilization above which hedged attempts would only lengthen queues
+	maxHedgeUtilization  = 0.5  // at this mean utilization and above, hedged attempts would only lengthen queues
 	utilizationGain      = 0.05 // weight of one load report in the moving average of utilization
 )
 
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -45,8 +45,8 @@
 	s.healthCheckPassed = false
 }
 
-// beginTrial marks the recovery trial as in flight and uses up the health check for it.
-func (s *outlierState) beginTrial() {
+// startTrial marks the recovery trial as in flight and uses up the health check for it.
+func (s *outlierState) startTrial() {
 	s.trialPending = true
 	s.healthCheckPassed = false
 }
@@ -91,9 +91,9 @@
 	}
 }
 
-// allowTrial reports whether r may be the recovery trial of an ejected endpoint. Where
+// requestTrial reports whether r may be the recovery trial of an ejected endpoint. Where
 // health checks are allowed it starts one first, and the trial follows when that passed.
-func (d *outlierDetector) allowTrial(now Time, ep *endpoint, r *request) bool {
+func (d *outlierDetector) requestTrial(now Time, ep *endpoint, r *request) bool {
 	if ep.trialPending || now < ep.nextTrialAt {
 		return false
 	}
@@ -133,8 +133,8 @@
 		d.updateErrorRate(ep, 1)
 	default: // other outcomes tell nothing of errors
 	}
-	if a.recoveryTrial && ep.ejected {
-		d.trialEnded(now, ep, outcome, latency > meanLatency)
+	if a.isTrial && ep.ejected {
+		d.endTrial(now, ep, outcome, latency > meanLatency)
 	}
 }
 
@@ -155,9 +155,9 @@
 	d.overallErrorRate += overallErrorRateGain * (failure - d.overallErrorRate)
 }
 
-// trialEnded readmits the endpoint after a successful recovery trial and ejects it again
+// endTrial readmits the endpoint after a successful recovery trial and ejects it again
 // after a failed one. A trial canceled before it was late tells neither.
-func (d *outlierDetector) trialEnded(now Time, ep *endpoint, outcome Outcome, late bool) {
+func (d *outlierDetector) endTrial(now Time, ep *endpoint, outcome Outcome, late bool) {
 	ep.trialPending = false
 	switch {
 	case outcome == Succeeded:
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -14,7 +14,7 @@
 	inFlight       bool // no outcome yet
 	neverRan       bool // its outcome proves that the endpoint did not run it
 	inFlightBefore int  // this gateway's attempts in flight at the endpoint when it started
-	recoveryTrial  bool // the endpoint was ejected when it started
+	isTrial        bool // the endpoint was ejected when it started
 }
 
 // request is the state of a client's request, kept until it is answered and has no attempt
--- a/internal/policy/throttle.go
+++ b/internal/policy/throttle.go
@@ -9,7 +9,7 @@
 const (
 	maxStartedPerSuccess = 1.3             // attempts started for each answer in time, at most
 	throttleWindow       = 3 * time.Second // time constant over which attempts are counted
-	toleratedFailures    = 1.5             // attempts without an answer in time that prove nothing
+	ignoredFailures      = 1.5             // attempts without an answer in time that prove nothing
 
 	// Attempts at each endpoint, by all gateways together, before any answer is known. With
 	// maxWarmUpShare that is two for an endpoint that is warming up.
@@ -43,7 +43,7 @@
 // several at once. The shares of the objective leave room for that; larger ones let queues
 // grow where endpoints truly are behind.
 func (t *throttle) shouldShed(now Time, r *request, ep *endpoint, expectedLatency float64) bool {
-	if t.rng.Float64()*t.expected < t.expected-maxStartedPerSuccess*t.succeeded-toleratedFailures {
+	if t.rng.Float64()*t.expected < t.expected-maxStartedPerSuccess*t.succeeded-ignoredFailures {
 		t.record(now, 1, 0)
 		return true
 	}
