--- a/internal/policy/balancer.go
+++ b/internal/policy/balancer.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	subsetSize       = 16   // endpoints among which a gateway chooses: it meets each of them often
-	errorPenalty     = 8.0  // an error costs more than a wait: it may be final
-	panicThreshold   = 0.5  // with a smaller share of healthy endpoints than this, ejections do not count
-	latencyJitter    = 0.15 // random spread of the expected latencies, against herding
-	maxWarmUpShare   = 0.6  // part of OverloadMultiple that an endpoint warming up may have of the mean load
-	crossZonePenalty = 2.0  // a rank grows by this times the cost of leaving the zone
+	subsetSize       = 16   // endpoints that a gateway chooses from; few, so that it uses each of them often
+	errorPenalty     = 8.0  // weight of the error rate in the score; an error costs more than a wait, as it may be final
+	panicThreshold   = 0.5  // below this share of healthy endpoints, ejections are ignored
+	latencyJitter    = 0.15 // random relative increase of expected latencies, so that gateways choose different endpoints
+	maxWarmUpShare   = 0.6  // limit for endpoints that are warming up: this share of OverloadMultiple times the mean load
+	crossZonePenalty = 2.0  // weight of CrossZoneCost in the score
 )
 
 // balancer picks the endpoint for each attempt.
@@ -24,7 +24,7 @@
 	throttle  *throttle
 }
 
-// newBalancer returns the balancer of a gateway whose other parts are set up.
+// newBalancer returns the balancer of a gateway. The gateway's other parts must be set.
 func newBalancer(g *Gateway) balancer {
 	return balancer{
 		settings:  &g.settings,
@@ -36,28 +36,29 @@
 	}
 }
 
-// candidateSelection accumulates what one pass over the candidates finds. It lives on the stack of pick.
+// candidateSelection accumulates the result of one pass over the candidates. It is a local
+// variable of pick, so that an attempt allocates nothing for it.
 type candidateSelection struct {
 	now            Time
 	honorEjections bool
 
-	best               *endpoint // of the candidates that need no slow start
-	bestLatency        float64   // its expected latency, seconds
-	bestScore          float64   // lower is better; 0 for a recovery trial
-	warmingUp          *endpoint // drawn among those that are warming up
-	warmingUpFactorSum float64   // slow-start factors of those
-	slowStartFactorSum float64   // slow-start factors of all candidates in reach
-	candidates         float64   // candidates in reach
+	best               *endpoint // best candidate that is not warming up, or a recovery trial
+	bestLatency        float64   // expected latency of best, seconds
+	bestScore          float64   // score of best, lower is better; 0 for a recovery trial
+	warmingUp          *endpoint // random choice among the candidates that are warming up
+	warmingUpFactorSum float64   // sum of the slow-start factors of the candidates that are warming up
+	slowStartFactorSum float64   // sum of the slow-start factors of all candidates
+	candidates         float64   // number of candidates
 }
 
-// pick returns the endpoint at which an attempt of r should end first, and its expected
-// latency in seconds; nil if there is none.
+// pick returns the endpoint for the next attempt of r, the one expected to answer first, and
+// its expected latency in seconds. It returns nil if no endpoint can take the attempt.
 func (b *balancer) pick(now Time, r *request) (*endpoint, float64) {
 	listed, healthy := b.ejectOutliers(now)
 	s := candidateSelection{
 		now: now,
-		// When most look like outliers, the cause is not with them: go by the expected
-		// latencies alone.
+		// If most endpoints look like outliers, the endpoints are probably not the cause:
+		// ignore ejections and use only the scores.
 		honorEjections: float64(healthy) >= panicThreshold*float64(listed),
 		bestScore:      math.Inf(1),
 	}
@@ -73,7 +74,8 @@
 	return s.best, s.bestLatency
 }
 
-// ejectOutliers counts the endpoints that are listed, and those among them that are not ejected.
+// ejectOutliers ejects outliers, and returns the number of listed endpoints and the number
+// of those that are not ejected.
 func (b *balancer) ejectOutliers(now Time) (listed, healthy int) {
 	meanLatency := b.latencies.meanLatency
 	for _, ep := range b.endpoints.list {
@@ -89,8 +91,8 @@
 	return listed, healthy
 }
 
-// scanCandidates examines the first endpoints that may take an attempt of r, and more of
-// them only until one is found that can.
+// scanCandidates examines the first subsetSize endpoints that may take an attempt of r, and
+// further ones only while s.best is not set.
 func (b *balancer) scanCandidates(s *candidateSelection, r *request) {
 	remaining := subsetSize
 	for _, ep := range b.endpoints.list {
@@ -105,7 +107,7 @@
 	}
 }
 
-// examine takes one candidate into account.
+// examine adds one candidate to the selection.
 func (b *balancer) examine(s *candidateSelection, r *request, ep *endpoint) {
 	latency := b.latencies.expected(s.now, ep, r.classIndex)
 	score := b.score(ep, latency)
@@ -132,8 +134,8 @@
 	}
 }
 
-// score orders candidates by their expected latency, with some jitter, their errors and
-// the cost of leaving the zone.
+// score returns a candidate's score, lower is better: its expected latency with some jitter,
+// increased for an error rate above the overall one and for another zone.
 func (b *balancer) score(ep *endpoint, latency float64) float64 {
 	score := latency / math.Sqrt(ep.slowness.ratio) * (1 + latencyJitter*b.rng.Float64())
 	score *= 1 + errorPenalty*max(ep.errorRate-b.outliers.overallErrorRate, 0)
@@ -143,15 +145,14 @@
 	return score
 }
 
-// preferWarmingUp decides whether the attempt goes to the endpoint drawn among those that
-// are warming up. A recovery trial goes before.
+// preferWarmingUp reports whether the attempt goes to s.warmingUp rather than to s.best. A
+// recovery trial takes precedence.
 //
-// Such an endpoint is drawn for its part of the load, whatever its latencies tell: for
-// what it surely can do of what all in reach can, so that neither warm endpoints nor
-// those warming up have more than their share. But of the mean load it gets no more than
-// maxWarmUpShare, also where too few endpoints are left for that load, and of load that
-// nobody answers next to nothing: all gateways together stay well below what makes it
-// fall over.
+// Endpoints that are warming up get load in proportion to their slow-start factors, whatever
+// their latencies, so that neither they nor the warm endpoints get more than their share.
+// Two limits keep the load from all gateways together well below an overload: an endpoint
+// that is warming up gets at most maxWarmUpShare of OverloadMultiple times the mean load,
+// even if too few endpoints are left, and next to none of the load that nobody answers.
 func (b *balancer) preferWarmingUp(s *candidateSelection, listed int) bool {
 	if s.warmingUp == nil || s.bestScore <= 0 {
 		return false
--- a/internal/policy/endpoint.go
+++ b/internal/policy/endpoint.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	maxWatchRetryDelay = time.Second // longest wait before a failed subscription is asked for again
-	minWatchRetries    = 4           // times that it may be asked for within the subscription timeout
+	maxWatchRetryDelay = time.Second // longest wait before a failed subscription is retried
+	minWatchRetries    = 4           // retries that must fit into the subscription timeout
 )
 
-// endpoint is what this gateway knows of one discovered endpoint.
+// endpoint is this gateway's state for one discovered endpoint.
 type endpoint struct {
 	Endpoint
 	outlierState
 	slowness       slowness
-	listed         bool   // discovery says that it takes requests
-	inFlight       int    // attempts of this gateway
-	rendezvousHash uint64 // rank among this gateway's endpoints: a hash of both
+	listed         bool   // discovery lists it as serving
+	inFlight       int    // attempts of this gateway in flight
+	rendezvousHash uint64 // of its ID and the gateway's index; the lowest are preferred
 }
 
-// removable reports whether the endpoint takes no new attempt and owes no answer.
+// removable reports whether the endpoint is not listed and has no attempt in flight.
 func (ep *endpoint) removable() bool { return !ep.listed && ep.inFlight == 0 }
 
-// reset takes in a new start of the endpoint: what was held against it is void.
+// reset initializes the state of an endpoint that is new or has restarted. Outcomes from
+// before a restart no longer count.
 func (ep *endpoint) reset(now Time, entry Endpoint) {
 	*ep = endpoint{
 		Endpoint:       entry,
@@ -36,11 +37,11 @@
 	}
 }
 
-// endpointSet holds the endpoints that discovery lists, and those that were listed and
-// still owe an answer.
+// endpointSet holds the endpoints that discovery lists, and those no longer listed that
+// still have attempts in flight.
 type endpointSet struct {
 	gatewayIndex int
-	list         []*endpoint // by endpoint.order, so that gateways prefer different ones
+	list         []*endpoint // sorted by rendezvousHash, so that gateways prefer different endpoints
 	byID         map[string]*endpoint
 }
 
@@ -48,7 +49,8 @@
 	return endpointSet{gatewayIndex: gatewayIndex, byID: map[string]*endpoint{}}
 }
 
-// applyUpdate follows discovery. Draining and removed endpoints get nothing new at once.
+// applyUpdate applies an update from discovery. From then on, draining and removed endpoints
+// get no new attempts.
 func (s *endpointSet) applyUpdate(now Time, update EndpointsUpdated) {
 	if update.Scope != IncrementalUpdate && update.Scope != FailedUpdate {
 		s.unlistAll()
@@ -61,7 +63,7 @@
 	slices.SortStableFunc(s.list, func(a, b *endpoint) int { return cmp.Compare(a.rendezvousHash, b.rendezvousHash) })
 }
 
-// unlistAll marks all endpoints as gone, until a whole list names them again.
+// unlistAll marks all endpoints as not listed, before a complete list is applied.
 func (s *endpointSet) unlistAll() {
 	for _, ep := range s.list {
 		ep.listed = false
@@ -71,7 +73,7 @@
 func (s *endpointSet) applyEntry(now Time, entry Endpoint) {
 	ep := s.byID[entry.ID]
 	if entry.State == Removed {
-		if ep != nil { // its place still binds the retries of what it may have run
+		if ep != nil { // keeps its zone and cell, which restrict retries of requests it may have run
 			ep.listed = false
 		}
 		return
@@ -95,7 +97,8 @@
 	return ep
 }
 
-// endpointsUpdated follows discovery, and subscribes to it where that is needed.
+// endpointsUpdated handles an update from discovery, and subscribes to further ones if that
+// is required.
 func (g *Gateway) endpointsUpdated(ev EndpointsUpdated) {
 	if g.settings.MustSubscribe {
 		g.subscribe(ev.Scope)
@@ -103,7 +106,8 @@
 	g.endpoints.applyUpdate(g.now, ev)
 }
 
-// subscribe asks discovery for changes at the start, and again after a failure.
+// subscribe subscribes to changes at discovery: at once at the start, and after a delay if
+// discovery failed.
 func (g *Gateway) subscribe(scope UpdateScope) {
 	switch scope {
 	case CachedUpdate:
--- a/internal/policy/throttle.go
+++ b/internal/policy/throttle.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	maxStartedPerSuccess = 1.3             // attempts started for each answer in time, at most
-	throttleWindow       = 3 * time.Second // time constant over which attempts are counted
-	ignoredFailures      = 1.5             // attempts without an answer in time that prove nothing
+	maxStartedPerSuccess = 1.3             // requests are shed while there are more attempts than this for each answer in time
+	throttleWindow       = 3 * time.Second // time constant with which the counts decay
+	ignoredFailures      = 1.5             // so many attempts without an answer in time do not cause shedding
 
-	// Attempts at each endpoint, by all gateways together, before any answer is known. With
-	// maxWarmUpShare that is two for an endpoint that is warming up.
+	// Attempts that all gateways together start at each endpoint before any answer is known.
+	// With maxWarmUpShare, this makes two at an endpoint that is warming up.
 	initialAttemptsPerEndpoint = 5.0
 
-	maxLatencyShare     = 0.4  // part of the latency objective that an attempt may be expected to take
-	maxIdleLatencyShare = 0.65 // the same with none of ours in flight there: no queue is the cause
+	maxLatencyShare     = 0.4  // requests are shed if the expected latency exceeds this share of the remaining objective
+	maxIdleLatencyShare = 0.65 // the same for endpoints without attempts of this gateway, where latency is not due to a queue
 )
 
-// throttle keeps the attempts that start near the attempts that are answered in time. It
-// guards endpoints that all fall behind, where the few attempts of one gateway show no
-// queue; losses of a quarter of the answers leave it idle.
+// throttle sheds requests so that the number of attempts stays close to the number that is
+// answered in time. It protects endpoints that are all overloaded, which a single gateway
+// with few attempts cannot tell from their latency. A loss of a quarter of the answers does
+// not trigger it. Its counts decay with the time constant throttleWindow.
 type throttle struct {
 	settings  *Settings
 	rng       *rand.Rand
-	expected  float64 // attempts of the last throttleWindow that should have been answered in time
-	succeeded float64 // the answers in time among them
-	started   float64 // attempts started in the last throttleWindow
+	expected  float64 // attempts that should have been answered in time, shed requests included
+	succeeded float64 // attempts that were answered in time
+	started   float64 // attempts started
 	updatedAt Time
 }
 
@@ -35,20 +36,21 @@
 	return throttle{settings: settings, rng: rng}
 }
 
-// shouldShed reports whether even the best endpoint is so far behind that a queue would
-// only exceed the latency objective; expectedLatency is the one there, in seconds. Where
-// endpoints are slow without queues, shedding shortens nothing, so a little is admitted.
+// shouldShed reports whether to shed r because even ep, the best endpoint, would probably
+// answer after the latency objective; expectedLatency is the expected latency there in
+// seconds. Shedding does not help endpoints that are slow without a queue, so endpoints
+// without attempts of this gateway still get some requests.
 //
-// The expected latency takes every attempt for a whole wait, though endpoints work on
-// several at once. The shares of the objective leave room for that; larger ones let queues
-// grow where endpoints truly are behind.
+// The expected latency counts a full service time for each attempt in the queue, though
+// endpoints work on several at once. The limits allow for that; higher ones let queues grow
+// at endpoints that are really overloaded.
 func (t *throttle) shouldShed(now Time, r *request, ep *endpoint, expectedLatency float64) bool {
 	if t.rng.Float64()*t.expected < t.expected-maxStartedPerSuccess*t.succeeded-ignoredFailures {
 		t.record(now, 1, 0)
 		return true
 	}
 	share := maxLatencyShare
-	if ep.inFlight == 0 { // with many gateways, none of ours says little
+	if ep.inFlight == 0 { // in a large fleet, attempts of other gateways are likely
 		share += (maxIdleLatencyShare - maxLatencyShare) * min(1, smallFleetSize/float64(t.settings.Gateways))
 	}
 	return expectedLatency > share*(r.objectiveAt-now).Seconds()
@@ -60,7 +62,7 @@
 	t.started++
 }
 
-// attemptEnded counts the outcome of an attempt, as far as it tells what endpoints can do.
+// attemptEnded counts the outcome of an attempt if it tells about the endpoints' capacity.
 func (t *throttle) attemptEnded(now Time, outcome Outcome) {
 	switch outcome {
 	case Succeeded:
@@ -70,13 +72,14 @@
 	}
 	switch outcome {
 	case Succeeded, TimedOut, Overloaded:
-	default: // what breaks or is canceled tells nothing of what endpoints can do
+	default: // other failures and cancellations tell nothing about the endpoints' capacity
 		t.started = max(t.started-1, 0)
 	}
 }
 
-// record fades the counts to now and adds attempts that should be answered in time, those
-// that were shed for want of answers included, and the answers in time among them.
+// record decays the counts to now and then adds to them: expected is the number of attempts
+// that should have been answered in time, or of requests that were shed because too few
+// answers came; succeeded is the number answered in time.
 func (t *throttle) record(now Time, expected, succeeded float64) {
 	decay := math.Exp(-(now - t.updatedAt).Seconds() / throttleWindow.Seconds())
 	t.expected = t.expected*decay + expected
@@ -85,9 +88,9 @@
 	t.updatedAt = now
 }
 
-// successRatio is the part of the recently started attempts that the answers bear out: a
-// guide to what endpoints can do. Many gateways that know nothing yet, or whose clients
-// all retry, start far more attempts than that.
+// successRatio returns the share of the recently started attempts that is justified by the
+// answers in time, an estimate of the load that the endpoints can serve. A fleet that has no
+// answers yet, or whose clients all retry, starts far more attempts than that.
 func (t *throttle) successRatio(now Time, endpoints int) float64 {
 	t.record(now, 0, 0)
 	initialAttempts := initialAttemptsPerEndpoint * float64(endpoints) / float64(t.settings.Gateways)
