--- a/internal/policy/latency.go
+++ b/internal/policy/latency.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	minServiceTimeGain   = 0.02             // least weight of one answer in a class's service time
-	slownessGain         = 0.05             // weight of one answer in an endpoint's slowness: work varies widely
-	maxSlownessSample    = 4.0              // times the usual; beyond, one long request proves no more
-	slownessDecayTime    = 10 * time.Second // an unused endpoint's slowness fades to the usual over this
-	assumedOtherAttempts = 1.0              // attempts of other gateways taken to be at an endpoint beside ours
-	smallFleetSize       = 3                // gateways up to which an endpoint idle for us is taken to be idle
+	minServiceTimeGain   = 0.02             // smallest weight of one answer in the means of service time and latency
+	slownessGain         = 0.05             // weight of one answer in an endpoint's slowness; low because requests differ widely
+	maxSlownessSample    = 4.0              // upper limit of one sample of slowness, against the effect of one long request
+	slownessDecayTime    = 10 * time.Second // time constant with which slowness decays to 1 without answers
+	assumedOtherAttempts = 1.0              // attempts of other gateways assumed at every endpoint
+	smallFleetSize       = 3                // up to this many gateways, an endpoint without local attempts is assumed to be idle
 
-	// Part of the latency objective taken for the service time until answers replace it.
+	// The initial service time of a class is its latency objective divided by this.
 	initialServiceTimeDivisor = 12
 )
 
-// latencyEstimator predicts the latency of attempts. It learns each class's usual service
-// time, which is the latency for each position in the endpoint's queue, and each
-// endpoint's slowness relative to that.
+// latencyEstimator predicts the latency of attempts. It estimates the mean service time of
+// each class, which is the latency per position in an endpoint's queue, and the slowness of
+// each endpoint relative to that.
 type latencyEstimator struct {
-	serviceTime             []float64 // by class, seconds
-	samples                 []float64 // by class: answers that serviceTime was learned from
-	meanLatency             float64   // usual latency of an answer of any class, seconds
-	attemptsPerLocalAttempt float64   // at an endpoint, for each attempt of ours: with many gateways several
+	serviceTime             []float64 // mean by class, seconds
+	samples                 []float64 // by class: number of answers in serviceTime
+	meanLatency             float64   // of the answers of all classes, seconds
+	attemptsPerLocalAttempt float64   // attempts of the fleet at an endpoint for each one of this gateway
 }
 
 func newLatencyEstimator(settings *Settings) latencyEstimator {
@@ -40,31 +40,31 @@
 	return e
 }
 
-// slowness is an endpoint's service time relative to the usual one.
+// slowness is an endpoint's service time relative to the mean of all endpoints.
 type slowness struct {
 	ratio     float64
 	updatedAt Time
 }
 
-// update moves the slowness towards one sample.
+// update adds one sample to the moving average of the slowness.
 func (s *slowness) update(now Time, sample float64) {
 	s.ratio += slownessGain * (min(sample, maxSlownessSample) - s.ratio)
 	s.updatedAt = now
 }
 
-// at is the slowness at a time: it fades to the usual without new answers.
+// at returns the slowness at a time. Without new answers it decays to 1.
 func (s *slowness) at(now Time) float64 {
 	return 1 + (s.ratio-1)*math.Exp(-(now-s.updatedAt).Seconds()/slownessDecayTime.Seconds())
 }
 
-// expected is the latency to expect of an attempt of a class, in seconds, and at least as
-// long as the endpoint has been silent.
+// expected returns the expected latency of an attempt of a class, in seconds. It is at least
+// the time for which the endpoint has left attempts unanswered.
 //
-// Errors are no part of it. They steer the balancer away from an endpoint that has more of
-// them than all have, but an endpoint that fails has no queue that shedding would shorten,
-// and one that is shed for its errors never gets to disprove them. This also keeps errors
-// of our own side, or of the network, from shutting out all endpoints. It could harm where
-// overload shows as errors only; there the throttle and the retry budget are what is left.
+// Errors do not affect it. The balancer avoids endpoints with an error rate above the overall
+// one, but requests are not shed for errors: a failing endpoint has no queue that shedding
+// would shorten, and without requests it could not show that it has recovered. Nor can
+// errors caused by this gateway or the network shut out all endpoints. If an overload shows
+// only as errors, the throttle and the retry budget alone limit the load.
 func (e *latencyEstimator) expected(now Time, ep *endpoint, class int) float64 {
 	latency := e.serviceTime[class] * ep.slowness.at(now) * e.queuePosition(ep.inFlight)
 	if ep.unanswered > 0 && ep.inFlight > 0 {
@@ -73,13 +73,13 @@
 	return latency
 }
 
-// queuePosition guesses the attempts at an endpoint, one more included, where this gateway
-// has some in flight.
+// queuePosition estimates the position of a new attempt in an endpoint's queue from the
+// attempts that this gateway has in flight there.
 func (e *latencyEstimator) queuePosition(inFlight int) float64 {
 	return float64(inFlight)*e.attemptsPerLocalAttempt + 1 + assumedOtherAttempts
 }
 
-// observe learns from the outcome of an attempt that took latency seconds.
+// observe updates the estimates with the outcome of an attempt that took latency seconds.
 func (e *latencyEstimator) observe(now Time, class int, a *attempt, outcome Outcome, latency float64) {
 	ep := a.endpoint
 	switch outcome {
@@ -87,12 +87,12 @@
 		serviceTime := latency / e.queuePosition(a.inFlightBefore)
 		e.updateMeans(class, serviceTime, latency)
 		ep.slowness.update(now, serviceTime/e.serviceTime[class])
-	case Overloaded: // it has more than it can do
+	case Overloaded: // the endpoint has more work than it can handle
 		ep.slowness.update(now, 2*ep.slowness.ratio)
 	}
 }
 
-// updateMeans moves the class's service time and the usual latency towards one answer's.
+// updateMeans adds one answer to the means of the class's service time and of the latency.
 func (e *latencyEstimator) updateMeans(class int, serviceTime, latency float64) {
 	e.samples[class]++
 	gain := max(minServiceTimeGain, 1/(e.samples[class]+4))
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -4,28 +4,28 @@
 
 const (
 	errorRateGain         = 0.15                   // weight of one outcome in an endpoint's error rate
-	overallErrorRateGain  = errorRateGain / 10     // weight of one outcome in the error rate of all
-	maxErrorRate          = 0.35                   // error rate that ejects an endpoint unless all fail alike
-	maxErrorRateRatio     = 2                      // multiple of the error rate of all beyond which one stands out
-	unresponsiveThreshold = 12.0                   // usual latencies of silence, times unanswered attempts, that eject
-	maxCountedUnanswered  = 3                      // unanswered attempts beyond this prove no more
-	minEjectionTime       = 500 * time.Millisecond // first wait before a recovery trial
-	maxEjectionTime       = 4 * time.Second        // longest such wait
+	overallErrorRateGain  = errorRateGain / 10     // weight of one outcome in the overall error rate
+	maxErrorRate          = 0.35                   // an endpoint with a higher error rate is ejected, unless the others fail too
+	maxErrorRateRatio     = 2                      // an endpoint is ejected for errors only above this multiple of the overall error rate
+	unresponsiveThreshold = 12.0                   // an endpoint is ejected after more mean latencies without an answer, times unanswered attempts
+	maxCountedUnanswered  = 3                      // more unanswered attempts than this do not raise that product
+	minEjectionTime       = 500 * time.Millisecond // length of the first ejection, until a recovery trial
+	maxEjectionTime       = 4 * time.Second        // longest ejection, until a recovery trial
 )
 
-// outlierState is what the outlier detector knows of one endpoint.
+// outlierState is the outlier detector's state for one endpoint.
 type outlierState struct {
 	errorRate         float64 // share of recent outcomes that were errors
-	unanswered        int     // attempts started since it last answered
+	unanswered        int     // attempts started since it last responded
 	unansweredSince   Time    // when the first of these started
 	ejected           bool
 	ejectionTime      time.Duration // length of the last ejection
-	nextTrialAt       Time          // when a recovery trial is allowed
+	nextTrialAt       Time          // earliest time of a recovery trial
 	trialPending      bool          // a recovery trial or its health check is in flight
-	healthCheckPassed bool          // a recovery trial may follow
+	healthCheckPassed bool          // the health check before the recovery trial succeeded
 }
 
-// attemptStarted counts one more attempt that is owed an answer.
+// attemptStarted counts an attempt that has no answer yet.
 func (s *outlierState) attemptStarted(now Time) {
 	if s.unanswered == 0 {
 		s.unansweredSince = now
@@ -33,10 +33,10 @@
 	s.unanswered++
 }
 
-// answered ends the silence that the attempts started since silentSince make up.
+// answered records that the endpoint has responded: no attempts count as unanswered.
 func (s *outlierState) answered() { s.unanswered = 0 }
 
-// eject keeps attempts away for a time that doubles with each failed recovery trial.
+// eject ejects the endpoint, for a time that doubles with each failed recovery trial.
 func (s *outlierState) eject(now Time) {
 	s.ejectionTime = min(max(2*s.ejectionTime, minEjectionTime), maxEjectionTime)
 	s.ejected = true
@@ -51,7 +51,7 @@
 	s.healthCheckPassed = false
 }
 
-// readmit ends the ejection: what led to it is void.
+// readmit ends the ejection and resets the statistics that caused it.
 func (s *outlierState) readmit() {
 	s.ejected = false
 	s.ejectionTime = 0
@@ -59,13 +59,13 @@
 	s.unanswered = 0
 }
 
-// outlierDetector ejects endpoints that accept requests and do not serve them, whatever
-// the cause, and readmits them after a recovery trial.
+// outlierDetector ejects endpoints that accept requests but do not serve them, whatever
+// the cause, and readmits them after a successful recovery trial.
 type outlierDetector struct {
 	settings         *Settings
 	emit             func(Action) // appends an action to those of the current step
 	overallErrorRate float64      // share of recent outcomes that were errors, over all endpoints
-	trialIdempotency Idempotency  // the least delicate kind in use; only such requests make trials
+	trialIdempotency Idempotency  // the least restrictive kind in use; only such requests are used for trials
 }
 
 func newOutlierDetector(settings *Settings, emit func(Action)) outlierDetector {
@@ -76,12 +76,12 @@
 	return d
 }
 
-// detect ejects an endpoint that is silent or fails more than the others. It could harm
-// where one rare long request is all that an endpoint has, so silence counts by the
-// unanswered attempts; usualLatency is in seconds.
+// detect ejects an endpoint that is unresponsive or fails more often than the others. One
+// rare long request should not eject an endpoint that has no other, so the time without an
+// answer is multiplied by the number of unanswered attempts; meanLatency is in seconds.
 func (d *outlierDetector) detect(now Time, ep *endpoint, meanLatency float64) {
 	if ep.ejected || ep.unanswered == 0 && ep.errorRate <= maxErrorRate {
-		return // the usual case comes first: this runs for every endpoint before each attempt
+		return // fast path: this runs for every endpoint before each attempt
 	}
 	waited := (now - ep.unansweredSince).Seconds() * float64(min(ep.unanswered, maxCountedUnanswered))
 	unresponsive := waited > unresponsiveThreshold*meanLatency
@@ -91,8 +91,8 @@
 	}
 }
 
-// requestTrial reports whether r may be the recovery trial of an ejected endpoint. Where
-// health checks are allowed it starts one first, and the trial follows when that passed.
+// requestTrial reports whether r may be the recovery trial of an ejected endpoint. If health
+// checks are allowed, it starts one first and allows the trial only after that succeeded.
 func (d *outlierDetector) requestTrial(now Time, ep *endpoint, r *request) bool {
 	if ep.trialPending || now < ep.nextTrialAt {
 		return false
@@ -108,7 +108,8 @@
 	return true
 }
 
-// healthCheckEnded allows the recovery trial of an ejected endpoint, or prolongs its ejection.
+// healthCheckEnded allows the recovery trial of an ejected endpoint after a successful health
+// check, and ejects it again after a failed one.
 func (d *outlierDetector) healthCheckEnded(now Time, ep *endpoint, outcome Outcome) {
 	if !ep.ejected {
 		return
@@ -120,7 +121,8 @@
 	}
 }
 
-// observe learns from the outcome of an attempt that took latency seconds.
+// observe updates the statistics with the outcome of an attempt; latency and meanLatency are
+// in seconds.
 func (d *outlierDetector) observe(now Time, a *attempt, outcome Outcome, latency, meanLatency float64) {
 	ep := a.endpoint
 	if provesResponsive(outcome) && a.startedAt >= ep.unansweredSince {
@@ -131,15 +133,15 @@
 		d.updateErrorRate(ep, 0)
 	case ServerError, ConnectionLost, ConnectFailed:
 		d.updateErrorRate(ep, 1)
-	default: // other outcomes tell nothing of errors
+	default: // other outcomes are neither successes nor errors of the endpoint
 	}
 	if a.isTrial && ep.ejected {
 		d.endTrial(now, ep, outcome, latency > meanLatency)
 	}
 }
 
-// provesResponsive reports whether an outcome ends an endpoint's silence. A lost connection does
-// too: silence is made up of attempts that never end.
+// provesResponsive reports whether an outcome shows that the endpoint still responds. A lost
+// connection counts as well, because attempts at an unresponsive endpoint never end.
 func provesResponsive(outcome Outcome) bool {
 	switch outcome {
 	case Succeeded, ServerError, Overloaded, ConnectionLost:
@@ -149,14 +151,15 @@
 	}
 }
 
-// updateErrorRate takes one outcome into account; failure is 1 for an error, else 0.
+// updateErrorRate adds one outcome to the error rates; failure is 1 for an error, else 0.
 func (d *outlierDetector) updateErrorRate(ep *endpoint, failure float64) {
 	ep.errorRate += errorRateGain * (failure - ep.errorRate)
 	d.overallErrorRate += overallErrorRateGain * (failure - d.overallErrorRate)
 }
 
 // endTrial readmits the endpoint after a successful recovery trial and ejects it again
-// after a failed one. A trial canceled before it was late tells neither.
+// after a failed one. A trial that was canceled within the mean latency counts as neither;
+// late says that the trial took longer.
 func (d *outlierDetector) endTrial(now Time, ep *endpoint, outcome Outcome, late bool) {
 	ep.trialPending = false
 	switch {
@@ -167,7 +170,7 @@
 	}
 }
 
-// healthChecked handles the end of a health check.
+// healthChecked handles the result of a health check.
 func (g *Gateway) healthChecked(ev HealthCheckDone) {
 	if ep := g.endpoints.byID[ev.Endpoint]; ep != nil {
 		g.outliers.healthCheckEnded(g.now, ep, ev.Outcome)
