--- a/internal/policy/attempt_test.go
+++ b/internal/policy/attempt_test.go
@@ -14,7 +14,7 @@
 		id, actions := h.receive(2, 1, 1, 1)
 		actions = h.step(policy.AttemptEnded{RequestID: id, Endpoint: startedAttempts(actions)[0].Endpoint, Outcome: outcome, Latency: ms})
 		if len(startedAttempts(actions)) > 0 || hasAction[policy.Reject](actions) || !hasAction[policy.Fail](actions) {
-			t.Errorf("outcome %d: %v, want a failure alone", outcome, actions)
+			t.Errorf("outcome %d: actions %v, want Fail without an attempt or Reject", outcome, actions)
 		}
 	}
 	for _, outcome := range []policy.Outcome{policy.Overloaded, policy.ConnectFailed} {
@@ -22,7 +22,7 @@
 		id, actions := h.receive(2, 1, 1, 1)
 		actions = h.step(policy.AttemptEnded{RequestID: id, Endpoint: startedAttempts(actions)[0].Endpoint, Outcome: outcome, Latency: ms})
 		if len(startedAttempts(actions)) != 1 {
-			t.Errorf("outcome %d: %v, want a retry: it never ran", outcome, actions)
+			t.Errorf("outcome %d: actions %v, want a retry because the request never ran", outcome, actions)
 		}
 	}
 }
@@ -41,11 +41,11 @@
 		actions = h.step(policy.AttemptEnded{RequestID: id, Endpoint: first, Outcome: policy.ServerError, Latency: ms})
 		for _, attempt := range startedAttempts(actions) {
 			if zones[attempt.Endpoint] != zones[first] {
-				t.Fatal("a request that may have run, idempotent by its key, left its zone")
+				t.Fatalf("seed %d: retry of a request that may have run at %s went to %s in another zone", seed, first, attempt.Endpoint)
 			}
 		}
 		if hasAction[policy.Reject](actions) {
-			t.Fatal("rejected though a retry elsewhere may run it twice")
+			t.Fatalf("seed %d: rejected although a retry in another zone may run the request twice", seed)
 		}
 	}
 }
@@ -57,14 +57,14 @@
 	id, actions := h.receive(0, 1, 1, 1)
 	first := startedAttempts(actions)[0]
 	if first.Timeout != 0 {
-		t.Errorf("an attempt with a streamed response has a timeout of %v", first.Timeout)
+		t.Errorf("attempt of a streaming class has timeout %v, want none", first.Timeout)
 	}
 	h.step(policy.ResponseStarted{RequestID: id, Endpoint: first.Endpoint, Latency: 20 * ms})
 	if actions := h.advance(10*time.Second, replyWithTotal(0)); len(startedAttempts(actions)) > 0 {
-		t.Error("a hedged attempt after the response had started")
+		t.Error("hedged attempt although the response has started")
 	}
 	if actions := h.step(policy.ClientDisconnected{RequestID: id}); hasAction[policy.CancelAttempt](actions) {
-		t.Error("an attempt was canceled though its response had started")
+		t.Error("attempt canceled although its response has started")
 	}
 }
 
@@ -83,16 +83,16 @@
 			}
 		}
 		if _, actions := h.receive(0, 1, 1, 1); len(startedAttempts(actions)) != 1 {
-			t.Fatal("not forwarded")
+			t.Fatalf("utilization %v: request not forwarded", c.utilization)
 		}
 		if hedged := len(startedAttempts(h.advance(400*ms, replyWithTotal(0)))) > 0; hedged != c.hedges {
-			t.Errorf("utilization %v: a hedged attempt %v, want %v", c.utilization, hedged, c.hedges)
+			t.Errorf("utilization %v: hedged attempt started: %v, want %v", c.utilization, hedged, c.hedges)
 		}
 	}
 }
 
-// Each wait in which the client may disconnect: for a hedged attempt, for a retry, and for the
-// counter's reply, which may come in time, late or never.
+// Covers each wait in which the client may disconnect: for a hedged attempt, for a retry, and
+// for the counter's reply, which may succeed, fail or never come.
 func TestNoAttemptAfterClientDisconnects(t *testing.T) {
 	for _, allowCancel := range []bool{true, false} {
 		settings := testSettings()
@@ -101,10 +101,10 @@
 		id, actions := h.receive(0, 1, 1, 1)
 		attempts := startedAttempts(actions)
 		if len(attempts) != 1 {
-			t.Fatalf("attempts %v", attempts)
+			t.Fatalf("attempts %v, want one", attempts)
 		}
 		expectNoAttempt(t, h.step(policy.ClientDisconnected{RequestID: id}))
-		expectNoAttempt(t, h.advance(time.Second, replyWithTotal(0))) // in which a hedged attempt would start
+		expectNoAttempt(t, h.advance(time.Second, replyWithTotal(0))) // long enough for a hedged attempt to start
 		expectNoAttempt(t, h.step(policy.AttemptEnded{RequestID: id, Endpoint: attempts[0].Endpoint,
 			Outcome: policy.Overloaded, Latency: time.Second, RequestDone: true}))
 		expectNoAttempt(t, h.advance(time.Second, replyWithTotal(0)))
@@ -129,12 +129,12 @@
 func expectNoAttempt(t *testing.T, actions []policy.Action) {
 	t.Helper()
 	if attempts := startedAttempts(actions); len(attempts) > 0 {
-		t.Errorf("attempts %v", attempts)
+		t.Errorf("attempts %v after the client disconnected, want none", attempts)
 	}
 }
 
-// receiveUntilHeld hands over requests of small tenants, of which a part calls the counter, until
-// one is held for its reply, and returns that one's id.
+// receiveUntilHeld passes in requests of tenants with a small quota, some of which call the
+// counter, until a request is held for the counter's reply. It returns that request's ID.
 func (h *harness) receiveUntilHeld() string {
 	h.t.Helper()
 	for i := range 100 {
@@ -149,6 +149,6 @@
 			h.succeed(id, attempt)
 		}
 	}
-	h.t.Fatal("no request is held for the counter")
+	h.t.Fatal("none of 100 requests is held for the counter")
 	return ""
 }
--- a/internal/policy/balancer_test.go
+++ b/internal/policy/balancer_test.go
@@ -3,7 +3,8 @@
 import "testing"
 
 func TestGatewayUsesSubsetOfEndpoints(t *testing.T) {
-	// Found in incident i530123: hundreds of gateways, each connected to every endpoint and knowing none.
+	// Guards against incident i530123: hundreds of gateways were each connected to every endpoint, and
+	// had too few recent outcomes of any of them.
 	usedBy := func(gatewayIndex int) map[string]bool {
 		settings := testSettings()
 		settings.Gateways, settings.GatewayIndex = 200, gatewayIndex
@@ -22,13 +23,13 @@
 	for gatewayIndex := range 40 {
 		used := usedBy(gatewayIndex)
 		if len(used) > 25 || len(used) < 8 {
-			t.Errorf("gateway %d uses %d of 100 endpoints", gatewayIndex, len(used))
+			t.Errorf("gateway %d uses %d of 100 endpoints, want 8 to 25", gatewayIndex, len(used))
 		}
 		for endpoint := range used {
 			usedByAny[endpoint] = true
 		}
 	}
 	if len(usedByAny) < 95 {
-		t.Errorf("40 gateways use %d of 100 endpoints", len(usedByAny))
+		t.Errorf("40 gateways together use %d of 100 endpoints, want at least 95", len(usedByAny))
 	}
 }
--- a/internal/policy/bench_test.go
+++ b/internal/policy/bench_test.go
@@ -10,7 +10,7 @@
 
 var benchmarkFleetSizes = []int{16, 200, 1000}
 
-// newBenchmarkGateway returns a gateway that knows a number of endpoints, all warm.
+// newBenchmarkGateway returns a gateway with a number of endpoints, none of them warming up.
 func newBenchmarkGateway(b *testing.B, endpoints int) (*policy.Gateway, []policy.Endpoint) {
 	b.Helper()
 	gateway, err := policy.New(time.Hour, testSettings())
@@ -25,7 +25,7 @@
 	return gateway, list
 }
 
-// BenchmarkRequest takes a request from its receipt over one successful attempt to its end.
+// BenchmarkRequest measures a request with one successful attempt, from its receipt to its end.
 func BenchmarkRequest(b *testing.B) {
 	for _, endpoints := range benchmarkFleetSizes {
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
@@ -43,7 +43,7 @@
 							Outcome: policy.Succeeded, Latency: time.Millisecond, RequestDone: true}, more[:0])
 					}
 				}
-				for _, action := range actions { // a timer left open would hold its request in memory
+				for _, action := range actions { // a pending timer would keep its request in memory
 					if timer, ok := action.(policy.StartTimer); ok {
 						more = gateway.Step(now+time.Millisecond, policy.TimerFired{TimerID: timer.TimerID}, more[:0])
 					}
@@ -53,7 +53,7 @@
 	}
 }
 
-// BenchmarkEndpointUpdate drains an endpoint and takes it back.
+// BenchmarkEndpointUpdate measures two updates: one drains an endpoint, one restores it.
 func BenchmarkEndpointUpdate(b *testing.B) {
 	for _, endpoints := range benchmarkFleetSizes {
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
--- a/internal/policy/endpoint_test.go
+++ b/internal/policy/endpoint_test.go
@@ -18,15 +18,15 @@
 		id, actions := h.receive(0, 1, 1, 1)
 		for _, attempt := range startedAttempts(actions) {
 			if attempt.Endpoint == "s0" {
-				t.Fatal("attempt at a draining endpoint")
+				t.Fatal("attempt at s0, which is draining")
 			}
 			h.succeed(id, attempt)
 		}
 	}
 }
 
-// Guards a gateway that runs for long against growth: endpoints that others replace
-// under new names are forgotten.
+// Guards against unbounded memory use of a long-running gateway whose endpoints are replaced
+// by ones with new IDs.
 func TestRemovedEndpointsFreeTheirMemory(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	replace := func(from, to int) {
@@ -46,7 +46,7 @@
 	before := heap()
 	replace(100, 3000)
 	if after := heap(); after > before+200_000 {
-		t.Errorf("%d removed endpoints take %d bytes", 2900, after-before)
+		t.Errorf("%d removed endpoints still take %d bytes", 2900, after-before)
 	}
 	runtime.KeepAlive(h)
 }
@@ -60,15 +60,15 @@
 	}
 	actions := gateway.Step(0, policy.EndpointsUpdated{Scope: policy.CachedUpdate}, nil)
 	if !hasAction[policy.WatchEndpoints](actions) {
-		t.Error("no subscription at the start")
+		t.Error("no WatchEndpoints action at the start")
 	}
 	actions = gateway.Step(time.Second, policy.EndpointsUpdated{Scope: policy.FailedUpdate}, nil)
 	if len(actions) == 0 {
-		t.Fatal("after a failure: no timer")
+		t.Fatal("no timer for a new subscription after a failed update")
 	}
 	retry := actions[len(actions)-1].(policy.StartTimer)
 	actions = gateway.Step(time.Second+retry.After, policy.TimerFired{TimerID: retry.TimerID}, nil)
 	if !hasAction[policy.WatchEndpoints](actions) {
-		t.Error("no new subscription after a failure")
+		t.Error("no WatchEndpoints action when the timer fires after a failed update")
 	}
 }
