--- a/internal/policy/example_test.go
+++ b/internal/policy/example_test.go
@@ -7,7 +7,7 @@
 	"swiftpitch/internal/policy"
 )
 
-// A gateway learns of an endpoint, receives a request, and is told that the attempt succeeded.
+// A gateway is told of an endpoint, then of a request, and then of the success of its attempt.
 func Example() {
 	now := 10 * time.Second // since an epoch that all gateways share
 	gateway, err := policy.New(now, policy.Settings{
--- a/internal/policy/gateway_test.go
+++ b/internal/policy/gateway_test.go
@@ -8,12 +8,14 @@
 	"swiftpitch/internal/policy"
 )
 
-// The tests of this package drive gateways by hand: a harness stands for the caller of one.
+// The tests of this package drive gateways through a harness, which acts as the caller of
+// [policy.Gateway.Step] in simulated time.
 
 const ms = time.Millisecond
 
-// testSettings describes three gateways with classes of every idempotency: any, by key within a zone, none, and by key
-// within the fleet. Its plans have a small quota, a large one, a hard limit, and a limit on concurrent attempts.
+// testSettings returns settings for three gateways. The classes are, in order: idempotent, idempotent by key within a
+// zone, not idempotent, and idempotent by key within the fleet. The plans have, in order: a small quota, a large quota,
+// a large quota with a hard limit, and only a limit on concurrent attempts.
 func testSettings() policy.Settings {
 	return policy.Settings{
 		Seed: 7, Gateways: 3,
@@ -37,30 +39,30 @@
 	}
 }
 
-// harness drives one gateway by hand, in time of its own.
+// harness drives one gateway in simulated time.
 type harness struct {
 	t            *testing.T
 	gateway      *policy.Gateway
 	now          time.Duration
 	timers       []timer
-	requests     int                   // handed over so far; the last one has this number
-	counterCalls []policy.AddToCounter // calls without a reply yet
+	requests     int                   // number of requests passed in so far
+	counterCalls []policy.AddToCounter // calls that have no reply yet
 }
 
-// timer is a timer that the gateway asked for and that has not fired.
+// timer is a timer of the gateway that has not fired yet.
 type timer struct {
 	at time.Duration
 	id uint64
 }
 
-// newHarness returns a harness whose gateway knows a number of endpoints, at a time that suits
-// most tests.
+// newHarness returns a harness whose gateway starts with a number of endpoints, at an
+// arbitrary time.
 func newHarness(t *testing.T, settings policy.Settings, endpoints int) *harness {
 	t.Helper()
 	return newHarnessAt(t, 1000*time.Second, settings, endpoints)
 }
 
-// newHarnessAt is [newHarness] at another time.
+// newHarnessAt is like [newHarness], but starts the gateway at the given time.
 func newHarnessAt(t *testing.T, now time.Duration, settings policy.Settings, endpoints int) *harness {
 	t.Helper()
 	gateway, err := policy.New(now, settings)
@@ -76,13 +78,13 @@
 	return h
 }
 
-// testEndpoint returns the endpoint of a number, "s0" for 0. The even ones are in zone 0, the odd
+// testEndpoint returns endpoint number i, whose ID is "s0" for 0. Even numbers are in zone 0, odd
 // ones in zone 1.
 func testEndpoint(i int) policy.Endpoint {
 	return policy.Endpoint{ID: fmt.Sprint("s", i), Zone: i % 2, Weight: 1}
 }
 
-// step hands one event over and keeps the timers and counter calls that come of it.
+// step passes one event to the gateway. It records the timers and counter calls that result.
 func (h *harness) step(event policy.Event) []policy.Action {
 	actions := h.gateway.Step(h.now, event, nil)
 	for _, action := range actions {
@@ -96,11 +98,11 @@
 	return actions
 }
 
-// replyFunc is a counter service: it returns the reply to a call.
+// replyFunc acts as the counter service: it returns the reply to a call.
 type replyFunc func(policy.AddToCounter) policy.CounterReplied
 
-// advance lets time pass, firing timers, and returns the actions that come of it. It hands over
-// the replies to counter calls at once; without a reply function calls stay without a reply.
+// advance lets time pass, firing timers, and returns the resulting actions. It answers counter
+// calls at once with reply; if reply is nil, calls get no reply.
 func (h *harness) advance(d time.Duration, reply replyFunc) (actions []policy.Action) {
 	for end := h.now + d; ; {
 		for len(h.counterCalls) > 0 && reply != nil {
@@ -118,12 +120,12 @@
 	}
 }
 
-// lastCounterCall returns the last call to the counter, which has no reply yet.
+// lastCounterCall returns the latest counter call that has no reply yet.
 func (h *harness) lastCounterCall() policy.AddToCounter {
 	return h.counterCalls[len(h.counterCalls)-1]
 }
 
-// nextTimer removes and returns the timer that fires first, if that is by end.
+// nextTimer removes and returns the timer that fires first, if it fires by end.
 func (h *harness) nextTimer(end time.Duration) (due timer, ok bool) {
 	next := -1
 	for i, candidate := range h.timers {
@@ -139,20 +141,20 @@
 	return due, true
 }
 
-// receive hands over a request and returns its id with the actions.
+// receive passes in a request and returns its ID and the actions.
 func (h *harness) receive(class, plan int, tenant uint64, units float64) (string, []policy.Action) {
 	return h.receiveEvent(policy.RequestReceived{Class: class, Plan: plan, Tenant: tenant,
 		Timeout: 2 * time.Second, Units: units, TenantGateways: 3})
 }
 
-// receiveEvent hands over a request, which it gives a new id, and returns that with the actions.
+// receiveEvent passes in a request under a new ID, and returns the ID and the actions.
 func (h *harness) receiveEvent(event policy.RequestReceived) (string, []policy.Action) {
 	h.requests++
 	event.RequestID = fmt.Sprintf("%016x", h.requests)
 	return event.RequestID, h.step(event)
 }
 
-// startedAttempts returns the attempts that actions start.
+// startedAttempts returns the attempts that are started by actions.
 func startedAttempts(actions []policy.Action) (attempts []policy.StartAttempt) {
 	for _, action := range actions {
 		if attempt, ok := action.(policy.StartAttempt); ok {
@@ -162,7 +164,7 @@
 	return attempts
 }
 
-// hasAction reports whether there is an action of some type.
+// hasAction reports whether there is an action of type T.
 func hasAction[T policy.Action](actions []policy.Action) bool {
 	for _, action := range actions {
 		if _, ok := action.(T); ok {
@@ -172,13 +174,13 @@
 	return false
 }
 
-// succeed ends an attempt with success; the latency that it reports is 20 ms.
+// succeed ends a request's first attempt with success and a latency of 20 ms.
 func (h *harness) succeed(id string, attempt policy.StartAttempt) {
 	h.step(policy.AttemptEnded{RequestID: id, Endpoint: attempt.Endpoint, Outcome: policy.Succeeded,
 		Latency: 20 * ms, RequestDone: true})
 }
 
-// succeedAll ends attempts with success and returns how many they were.
+// succeedAll ends attempts with success and returns their number.
 func (h *harness) succeedAll(attempts []policy.StartAttempt) int {
 	for _, attempt := range attempts {
 		h.succeed(attempt.RequestID, attempt)
@@ -186,7 +188,7 @@
 	return len(attempts)
 }
 
-// countAdmitted hands over n requests of one unit and returns how many are admitted.
+// countAdmitted passes in n requests of one unit and returns how many are admitted.
 func (h *harness) countAdmitted(n int, plan int, tenant uint64) (admitted int) {
 	for range n {
 		id, actions := h.receive(0, plan, tenant, 1)
@@ -198,7 +200,7 @@
 	return admitted
 }
 
-// replyWithTotal answers reads with a fixed total and adds with what was added.
+// replyWithTotal replies to reads with a fixed total and to additions with the units added.
 func replyWithTotal(total float64) replyFunc {
 	return func(call policy.AddToCounter) policy.CounterReplied {
 		if call.Units == 0 {
@@ -208,14 +210,14 @@
 	}
 }
 
-// replyWithOutcome answers counter calls with an outcome and no total.
+// replyWithOutcome replies to counter calls with an outcome and no total.
 func replyWithOutcome(outcome policy.Outcome) replyFunc {
 	return func(call policy.AddToCounter) policy.CounterReplied {
 		return policy.CounterReplied{Key: call.Key, Outcome: outcome}
 	}
 }
 
-// fakeCounter is a counter service whose totals, by key, never expire.
+// fakeCounter is a counter service: totals by key, which never expire.
 type fakeCounter map[uint64]float64
 
 // add adds the units of a call and returns the new total.
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -7,16 +7,16 @@
 	"swiftpitch/internal/policy"
 )
 
-// timeOut lets an attempt's timeout pass and ends it without an answer.
+// timeOut lets an attempt's timeout pass and then ends the attempt as timed out.
 func (h *harness) timeOut(id string, number int, attempt policy.StartAttempt) {
 	h.advance(attempt.Timeout, replyWithTotal(0))
 	h.step(policy.AttemptEnded{RequestID: id, Attempt: number, Endpoint: attempt.Endpoint,
 		Outcome: policy.TimedOut, Latency: attempt.Timeout})
 }
 
-// attemptsAtFaultyEndpoint offers 400 requests of a class to four endpoints, of which one fails
-// each of its attempts in the way of fail. It returns how many attempts that one got of the
-// requests after the first hundred.
+// attemptsAtFaultyEndpoint sends 400 requests of a class to four endpoints. Attempts at the
+// endpoint s1 end by fail, the others succeed. It returns the number of attempts at s1 from
+// the requests after the first hundred.
 func attemptsAtFaultyEndpoint(t *testing.T, class int, fail func(*harness, policy.StartAttempt)) (lateAttempts int) {
 	t.Helper()
 	settings := testSettings()
@@ -44,7 +44,7 @@
 		h.timeOut(attempt.RequestID, 0, attempt)
 	})
 	if late > 15 {
-		t.Errorf("%d of 300 requests still went to an endpoint that answers nothing", late)
+		t.Errorf("%d of 300 requests went to an endpoint that times out, want at most 15", late)
 	}
 }
 
@@ -54,15 +54,15 @@
 			Outcome: policy.ServerError, Latency: ms})
 	})
 	if late > 3 {
-		t.Errorf("%d of 300 requests that are not idempotent went to an endpoint that fails them", late)
+		t.Errorf("%d of 300 non-idempotent requests went to an endpoint that fails them, want at most 3", late)
 	}
 }
 
 func TestThrottleRecoversAfterAllEndpointsReturn(t *testing.T) {
-	// Found on a deployment: after all endpoints had been ejected and had come back, a gateway that
-	// had forwarded nothing meanwhile allowed itself nothing.
+	// Guards against a failure seen in a deployment: after all endpoints had been ejected and had
+	// recovered, the throttle of a gateway that had forwarded nothing meanwhile shed every request.
 	h := newHarness(t, testSettings(), 3)
-	for range 60 { // nobody answers
+	for range 60 { // all attempts time out
 		h.advance(50*ms, replyWithTotal(0))
 		id, actions := h.receive(0, 1, 1, 1)
 		for number, attempt := range startedAttempts(actions) {
@@ -80,7 +80,7 @@
 		}
 	}
 	if forwarded < 50 {
-		t.Errorf("%d of 100 requests forwarded after the endpoints came back", forwarded)
+		t.Errorf("%d of 100 requests forwarded after the endpoints recovered, want at least 50", forwarded)
 	}
 }
 
@@ -98,7 +98,7 @@
 		}
 	}
 	if attempts == 0 {
-		t.Error("with every endpoint silent no attempt starts any more")
+		t.Error("no attempt starts any more while all endpoints time out")
 	}
 }
 
@@ -128,6 +128,7 @@
 		}
 	}
 	if healthChecks == 0 || attemptsAfter > 0 {
-		t.Errorf("%d health checks, and %d requests to an endpoint that fails them", healthChecks, attemptsAfter)
+		t.Errorf("%d health checks, want some; %d attempts at an endpoint after its failed health checks, want none",
+			healthChecks, attemptsAfter)
 	}
 }
