--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -17,7 +17,7 @@
 // attemptsAtFaultyEndpoint sends 400 requests of a class to four endpoints. Attempts at the
 // endpoint s1 end by fail, the others succeed. It returns the number of attempts at s1 from
 // the requests after the first hundred.
-func attemptsAtFaultyEndpoint(t *testing.T, class int, fail func(*harness, policy.StartAttempt)) (lateAttempts int) {
+func attemptsAtFaultyEndpoint(t *testing.T, class int, fail func(*harness, policy.StartAttempt)) (attempts int) {
 	t.Helper()
 	settings := testSettings()
 	settings.AllowHedging = false
@@ -31,30 +31,30 @@
 				continue
 			}
 			if i > 100 {
-				lateAttempts++
+				attempts++
 			}
 			fail(h, attempt)
 		}
 	}
-	return lateAttempts
+	return attempts
 }
 
 func TestHangingEndpointIsEjected(t *testing.T) {
-	late := attemptsAtFaultyEndpoint(t, 0, func(h *harness, attempt policy.StartAttempt) {
+	attempts := attemptsAtFaultyEndpoint(t, 0, func(h *harness, attempt policy.StartAttempt) {
 		h.timeOut(attempt.RequestID, 0, attempt)
 	})
-	if late > 15 {
-		t.Errorf("%d of 300 requests went to an endpoint that times out, want at most 15", late)
+	if attempts > 15 {
+		t.Errorf("%d of 300 requests went to an endpoint that times out, want at most 15", attempts)
 	}
 }
 
 func TestFastFailingEndpointIsEjected(t *testing.T) {
-	late := attemptsAtFaultyEndpoint(t, 2, func(h *harness, attempt policy.StartAttempt) {
+	attempts := attemptsAtFaultyEndpoint(t, 2, func(h *harness, attempt policy.StartAttempt) {
 		h.step(policy.AttemptEnded{RequestID: attempt.RequestID, Endpoint: attempt.Endpoint,
 			Outcome: policy.ServerError, Latency: ms})
 	})
-	if late > 3 {
-		t.Errorf("%d of 300 non-idempotent requests went to an endpoint that fails them, want at most 3", late)
+	if attempts > 3 {
+		t.Errorf("%d of 300 non-idempotent requests went to an endpoint that fails them, want at most 3", attempts)
 	}
 }
 
