--- a/internal/policy/sequences_test.go
+++ b/internal/policy/sequences_test.go
@@ -47,15 +47,15 @@
 
 // oracle checks every action of one gateway against the rules that bind it.
 type oracle struct {
-	t        *testing.T
-	seed     uint64
-	settings policy.Settings
-	harness  *harness
-	requests map[string]*oracleRequest
-	order    []string // ids in the order of arrival
-	zones    map[string]int
-	draining string // id of the endpoint that takes nothing new
-	actions  []policy.Action
+	t          *testing.T
+	seed       uint64
+	settings   policy.Settings
+	harness    *harness
+	requests   map[string]*oracleRequest
+	requestIDs []string // ids in the order of arrival
+	zones      map[string]int
+	drainingID string // id of the endpoint that takes nothing new
+	actions    []policy.Action
 }
 
 // runSequence plays the random events of a seed and returns all actions.
@@ -84,7 +84,7 @@
 // drain marks an endpoint as draining.
 func (o *oracle) drain(endpoint policy.Endpoint) {
 	endpoint.State = policy.Draining
-	o.draining = endpoint.ID
+	o.drainingID = endpoint.ID
 	o.check(o.harness.step(policy.EndpointsUpdated{Scope: policy.IncrementalUpdate, Endpoints: []policy.Endpoint{endpoint}}))
 }
 
@@ -96,14 +96,14 @@
 	timeout := time.Duration(500+rng.IntN(1500)) * ms
 	request := &oracleRequest{class: rng.IntN(4), deadline: h.now + timeout}
 	o.requests[id] = request
-	o.order = append(o.order, id)
+	o.requestIDs = append(o.requestIDs, id)
 	o.check(h.step(policy.RequestReceived{RequestID: id, Class: request.class, Plan: rng.IntN(4), Tenant: uint64(rng.IntN(6)),
 		Timeout: timeout, Units: float64(1 + rng.IntN(3)), TenantGateways: 3}))
 }
 
 // endAttempts ends the attempts that have expired, and some of the others at random.
 func (o *oracle) endAttempts(rng *rand.Rand) {
-	for _, id := range o.order {
+	for _, id := range o.requestIDs {
 		request := o.requests[id]
 		for n := 0; n < len(request.attempts); n++ { // the outcome of one may start another
 			attempt := request.attempts[n]
@@ -166,7 +166,7 @@
 			o.t.Fatalf("seed %d: class %d: another attempt at %s after %+v", o.seed, request.class, start.Endpoint, *earlier)
 		}
 	}
-	if request.answered || start.Endpoint == o.draining || len(request.attempts) >= o.settings.MaxAttempts ||
+	if request.answered || start.Endpoint == o.drainingID || len(request.attempts) >= o.settings.MaxAttempts ||
 		inFlight > 1 || inFlight > 0 && !o.settings.AllowHedging {
 		o.t.Fatalf("seed %d: attempt of %s at %s is not allowed", o.seed, start.RequestID, start.Endpoint)
 	}
@@ -213,7 +213,7 @@
 
 func (o *oracle) checkAllAnswered() {
 	o.t.Helper()
-	for _, id := range o.order {
+	for _, id := range o.requestIDs {
 		if request := o.requests[id]; !request.answered && o.harness.now > request.deadline+50*ms {
 			o.t.Fatalf("seed %d: %s got no answer", o.seed, id)
 		}
--- a/internal/policy/slowstart_sim_test.go
+++ b/internal/policy/slowstart_sim_test.go
@@ -31,8 +31,8 @@
 	settings          policy.Settings
 	gateways          []*simGateway
 	cumulativeWeights []float64 // of the traffic, by gateway
-	endpoints         map[string]*simEndpoint
-	order             []*simEndpoint
+	endpointsByID     map[string]*simEndpoint
+	endpoints         []*simEndpoint
 	requests          int
 	succeeded         int
 }
@@ -42,7 +42,7 @@
 func newSimFleet(t *testing.T, gateways int, uneven bool) *simFleet {
 	t.Helper()
 	f := &simFleet{t: t, rng: rand.New(rand.NewPCG(uint64(gateways), 21)), settings: simSettings(gateways),
-		endpoints: map[string]*simEndpoint{}}
+		endpointsByID: map[string]*simEndpoint{}}
 	for i := range simEndpoints {
 		f.addEndpoint(fmt.Sprint("s", i), 0)
 	}
@@ -119,7 +119,7 @@
 
 // servingEndpoints returns the complete endpoint list of discovery.
 func (f *simFleet) servingEndpoints() (list []policy.Endpoint) {
-	for _, endpoint := range f.order {
+	for _, endpoint := range f.endpoints {
 		if endpoint.State == policy.Serving && !endpoint.crashed {
 			list = append(list, endpoint.Endpoint)
 		}
@@ -129,9 +129,9 @@
 
 // addEndpoint starts an endpoint.
 func (f *simFleet) addEndpoint(id string, startedAt time.Duration) policy.Endpoint {
-	endpoint := &simEndpoint{fleet: f, Endpoint: policy.Endpoint{ID: id, Weight: 1, StartedAt: startedAt, Zone: len(f.order) % 3}}
-	f.endpoints[id] = endpoint
-	f.order = append(f.order, endpoint)
+	endpoint := &simEndpoint{fleet: f, Endpoint: policy.Endpoint{ID: id, Weight: 1, StartedAt: startedAt, Zone: len(f.endpoints) % 3}}
+	f.endpointsByID[id] = endpoint
+	f.endpoints = append(f.endpoints, endpoint)
 	return endpoint.Endpoint
 }
 
@@ -139,7 +139,7 @@
 // requests that came in a time of the settings' length over N + 2 x root of N + 2, where N is
 // what the settings allow by its capacity when that time begins.
 func (f *simFleet) peakLoadRatio() (peak float64) {
-	for _, endpoint := range f.order {
+	for _, endpoint := range f.endpoints {
 		if endpoint.StartedAt != 0 {
 			peak = max(peak, endpoint.peakLoadRatio())
 		}
@@ -245,7 +245,7 @@
 
 func (g *simGateway) startAttempt(action policy.StartAttempt) {
 	f := g.fleet
-	request, endpoint := g.requests[action.RequestID], f.endpoints[action.Endpoint]
+	request, endpoint := g.requests[action.RequestID], f.endpointsByID[action.Endpoint]
 	number := len(request.attempts)
 	request.attempts = append(request.attempts, simAttempt{startedAt: f.Now, endpoint: action.Endpoint})
 	until := request.deadline
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -71,7 +71,7 @@
 // crash removes the endpoints whose number is chosen; gateways hear of it later.
 func (f *simFleet) crash(chosen func(int) bool) (crashed []*simEndpoint) {
 	var removed []policy.Endpoint
-	for i, endpoint := range f.order {
+	for i, endpoint := range f.endpoints {
 		if chosen(i) {
 			endpoint.crashed, endpoint.State = true, policy.Removed
 			crashed = append(crashed, endpoint)
@@ -95,7 +95,7 @@
 func (f *simFleet) replaceEndpoints(count int, within time.Duration) {
 	for i := range count {
 		f.After(time.Duration(i)*within/time.Duration(count), func() {
-			old := f.order[i]
+			old := f.endpoints[i]
 			old.State = policy.Draining
 			f.sendUpdate(policy.IncrementalUpdate, old.Endpoint, f.addEndpoint(fmt.Sprint("new", i), f.Now))
 		})
@@ -130,7 +130,7 @@
 	}},
 	{"all gateways restarted", simUsualLoad, 0, false, func(f *simFleet) {
 		for i := range 6 {
-			f.order[5*i].restart()
+			f.endpoints[5*i].restart()
 		}
 		f.restartGateways()
 	}},
