--- a/internal/policy/sequences_test.go
+++ b/internal/policy/sequences_test.go
@@ -10,17 +10,18 @@
 	"swiftpitch/internal/policy"
 )
 
-// TestRandomEventsKeepInvariants feeds legal random events and checks the actions with an oracle of its own.
+// TestRandomEventsKeepInvariants plays random sequences of valid events and checks every action against an independent
+// model of the rules, the oracle.
 func TestRandomEventsKeepInvariants(t *testing.T) {
 	for seed := range uint64(30) {
 		first, second := runSequence(t, seed), runSequence(t, seed)
 		if !reflect.DeepEqual(first, second) {
-			t.Fatalf("seed %d: the same events gave other actions", seed)
+			t.Fatalf("seed %d: two runs with the same events gave different actions", seed)
 		}
 	}
 }
 
-// execution is what an attempt's outcome tells of its execution.
+// execution is what an attempt's outcome, if any, tells about whether its request ran.
 type execution int
 
 const (
@@ -29,7 +30,7 @@
 	attemptMayHaveRun
 )
 
-// oracleAttempt is an attempt that the gateway started.
+// oracleAttempt is the oracle's record of an attempt that the gateway started.
 type oracleAttempt struct {
 	endpoint  string
 	startedAt time.Duration
@@ -37,7 +38,7 @@
 	execution execution
 }
 
-// oracleRequest is a request with all its attempts.
+// oracleRequest is the oracle's record of a request with all its attempts.
 type oracleRequest struct {
 	class    int
 	deadline time.Duration
@@ -45,20 +46,20 @@
 	answered bool
 }
 
-// oracle checks every action of one gateway against the rules that bind it.
+// oracle drives one gateway and checks every action against the rules that the gateway must follow.
 type oracle struct {
 	t          *testing.T
 	seed       uint64
 	settings   policy.Settings
 	harness    *harness
 	requests   map[string]*oracleRequest
-	requestIDs []string // ids in the order of arrival
+	requestIDs []string // in order of arrival
 	zones      map[string]int
-	drainingID string // id of the endpoint that takes nothing new
+	drainingID string // ID of the endpoint that must get no new attempts; "" for none
 	actions    []policy.Action
 }
 
-// runSequence plays the random events of a seed and returns all actions.
+// runSequence plays the random events of a seed, checks the actions and returns them all.
 func runSequence(t *testing.T, seed uint64) []policy.Action {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -88,7 +89,7 @@
 	o.check(o.harness.step(policy.EndpointsUpdated{Scope: policy.IncrementalUpdate, Endpoints: []policy.Endpoint{endpoint}}))
 }
 
-// receiveRequest hands over a request of a random class, plan and tenant.
+// receiveRequest passes in a request of a random class, plan and tenant.
 func (o *oracle) receiveRequest(rng *rand.Rand) {
 	h := o.harness
 	h.requests++
@@ -101,11 +102,11 @@
 		Timeout: timeout, Units: float64(1 + rng.IntN(3)), TenantGateways: 3}))
 }
 
-// endAttempts ends the attempts that have expired, and some of the others at random.
+// endAttempts ends all expired attempts, and some of the others at random.
 func (o *oracle) endAttempts(rng *rand.Rand) {
 	for _, id := range o.requestIDs {
 		request := o.requests[id]
-		for n := 0; n < len(request.attempts); n++ { // the outcome of one may start another
+		for n := 0; n < len(request.attempts); n++ { // ending one may start another
 			attempt := request.attempts[n]
 			expired := o.harness.now >= attempt.expiresAt
 			if attempt.execution != attemptInFlight || !expired && rng.IntN(8) > 0 {
@@ -134,7 +135,7 @@
 		Latency: o.harness.now - attempt.startedAt, RequestDone: request.answered}))
 }
 
-// check holds the actions of one step against the rules and follows them.
+// check checks the actions of one step against the rules and updates the oracle's records.
 func (o *oracle) check(actions []policy.Action) {
 	o.t.Helper()
 	o.actions = append(o.actions, actions...)
@@ -148,7 +149,7 @@
 			o.answer(action.RequestID)
 		case policy.CancelAttempt:
 			if !o.settings.AllowCancel {
-				o.t.Fatalf("seed %d: cancel is not allowed", o.seed)
+				o.t.Fatalf("seed %d: attempt %d of %s canceled although AllowCancel is false", o.seed, action.Attempt, action.RequestID)
 			}
 		}
 	}
@@ -163,12 +164,13 @@
 			inFlight++
 		}
 		if o.mayRunTwice(request, earlier, start.Endpoint) {
-			o.t.Fatalf("seed %d: class %d: another attempt at %s after %+v", o.seed, request.class, start.Endpoint, *earlier)
+			o.t.Fatalf("seed %d: class %d: attempt at %s may run the request again after %+v", o.seed, request.class, start.Endpoint, *earlier)
 		}
 	}
 	if request.answered || start.Endpoint == o.drainingID || len(request.attempts) >= o.settings.MaxAttempts ||
 		inFlight > 1 || inFlight > 0 && !o.settings.AllowHedging {
-		o.t.Fatalf("seed %d: attempt of %s at %s is not allowed", o.seed, start.RequestID, start.Endpoint)
+		o.t.Fatalf("seed %d: attempt of %s at %s is not allowed: answered %v, draining endpoint %q, %d attempts, %d in flight",
+			o.seed, start.RequestID, start.Endpoint, request.answered, o.drainingID, len(request.attempts), inFlight)
 	}
 	expiresAt := request.deadline
 	if start.Timeout > 0 {
@@ -178,7 +180,8 @@
 		&oracleAttempt{endpoint: start.Endpoint, startedAt: o.harness.now, expiresAt: expiresAt})
 }
 
-// mayRunTwice reports whether an attempt at an endpoint could run a request a second time that must run once.
+// mayRunTwice reports whether a new attempt at endpoint could repeat a request that the earlier attempt may have run,
+// although its class forbids that.
 func (o *oracle) mayRunTwice(request *oracleRequest, earlier *oracleAttempt, endpoint string) bool {
 	class := o.settings.Classes[request.class]
 	if earlier.execution == attemptNeverRan || class.Idempotency == policy.Idempotent {
@@ -188,7 +191,7 @@
 		class.DedupScope == policy.DedupZone && o.zones[earlier.endpoint] != o.zones[endpoint]
 }
 
-// checkReject checks that a request of which the client is told that it did not run may not have run.
+// checkReject checks that a rejected request cannot have run, unless its class makes a retry by the client safe.
 func (o *oracle) checkReject(reject policy.Reject) {
 	o.t.Helper()
 	request := o.requests[reject.RequestID]
@@ -196,17 +199,17 @@
 	for _, attempt := range request.attempts {
 		if attempt.execution != attemptNeverRan && (class.Idempotency == policy.NonIdempotent ||
 			class.Idempotency == policy.IdempotentByKey && class.DedupScope != policy.DedupFleet) {
-			o.t.Fatalf("seed %d: class %d rejected after it may have run", o.seed, request.class)
+			o.t.Fatalf("seed %d: %s of class %d rejected although it may have run", o.seed, reject.RequestID, request.class)
 		}
 	}
 	o.answer(reject.RequestID)
 }
 
-// answer takes the final answer of a request, which must be its only one.
+// answer records the final answer of a request and checks that it is the only one.
 func (o *oracle) answer(id string) {
 	o.t.Helper()
 	if o.requests[id].answered {
-		o.t.Fatalf("seed %d: two answers", o.seed)
+		o.t.Fatalf("seed %d: %s got two answers", o.seed, id)
 	}
 	o.requests[id].answered = true
 }
@@ -215,7 +218,7 @@
 	o.t.Helper()
 	for _, id := range o.requestIDs {
 		if request := o.requests[id]; !request.answered && o.harness.now > request.deadline+50*ms {
-			o.t.Fatalf("seed %d: %s got no answer", o.seed, id)
+			o.t.Fatalf("seed %d: %s got no answer by its deadline %v", o.seed, id, request.deadline)
 		}
 	}
 }
