--- a/internal/policy/slowstart_sim_test.go
+++ b/internal/policy/slowstart_sim_test.go
@@ -12,33 +12,33 @@
 	"swiftpitch/internal/testclock"
 )
 
-// This file simulates a whole fleet of gateways before endpoints that start slowly.
+// This file simulates a fleet of gateways that share endpoints with slow start.
 
 const (
 	simEndpoints      = 30
-	simCapacity       = 12.0 // requests of mean work that a warm endpoint does in a second
+	simCapacity       = 12.0 // mean number of requests that a warm endpoint serves in a second
 	simOneWayLatency  = 2 * ms
-	simMaxQueue       = 60 // requests that wait at an endpoint; more are rejected
+	simMaxQueue       = 60 // requests waiting at an endpoint; further ones are rejected
 	simClientTimeout  = 2500 * ms
-	simMaxUpdateDelay = time.Second // updates reach the gateways within this
+	simMaxUpdateDelay = time.Second // longest delay of a discovery update to a gateway
 )
 
-// simFleet is a fleet of gateways before its endpoints, in simulated time.
+// simFleet is a fleet of gateways and their endpoints in simulated time.
 type simFleet struct {
 	testclock.Clock
 	t                 *testing.T
 	rng               *rand.Rand
 	settings          policy.Settings
 	gateways          []*simGateway
-	cumulativeWeights []float64 // of the traffic, by gateway
+	cumulativeWeights []float64 // cumulative shares of the traffic, by gateway
 	endpointsByID     map[string]*simEndpoint
 	endpoints         []*simEndpoint
 	requests          int
 	succeeded         int
 }
 
-// newSimFleet returns a fleet of warm endpoints; where uneven, one gateway in eight gets
-// six times the traffic of another.
+// newSimFleet returns a fleet with warm endpoints. If uneven is set, one gateway in eight gets
+// six times the traffic of each other gateway.
 func newSimFleet(t *testing.T, gateways int, uneven bool) *simFleet {
 	t.Helper()
 	f := &simFleet{t: t, rng: rand.New(rand.NewPCG(uint64(gateways), 21)), settings: simSettings(gateways),
@@ -50,7 +50,7 @@
 	for i := range gateways {
 		weight := 1.0
 		if uneven && i%8 == 0 {
-			weight = 6 // four times the mean
+			weight = 6 // about four times the mean
 		}
 		sum += weight
 		f.cumulativeWeights = append(f.cumulativeWeights, sum)
@@ -66,15 +66,15 @@
 	settings.Gateways = gateways
 	settings.Classes = []policy.Class{{LatencyObjective: time.Second, Deadline: simClientTimeout,
 		Idempotency: policy.Idempotent, PriorityWeight: 1}}
-	settings.Plans[1] = policy.Plan{Rate: 1e5, Burst: 1e6, PriorityWeight: 1} // quotas are not what this is about
+	settings.Plans[1] = policy.Plan{Rate: 1e5, Burst: 1e6, PriorityWeight: 1} // so large that quotas have no effect
 	settings.SlowStartCapacity, settings.SlowStartDuration = 0.27, 18*time.Second
 	settings.OverloadMultiple, settings.OverloadDuration = 2.5, 3*time.Second
 	settings.MaxAttempts = 4
 	return settings
 }
 
-// receive brings a request to a gateway by the weights of the traffic. Its client retries
-// a rejection at once, as often as retries says.
+// receive sends a request to a random gateway, chosen by its share of the traffic. The client
+// retries at once if the request is not served, up to the given number of times.
 func (f *simFleet) receive(retries int) {
 	at := f.rng.Float64() * f.cumulativeWeights[len(f.cumulativeWeights)-1]
 	i, _ := slices.BinarySearch(f.cumulativeWeights, at)
@@ -94,7 +94,7 @@
 		Timeout: simClientTimeout, Units: 1, TenantGateways: 1})
 }
 
-// generateRequests brings requests, rate a second, until a time.
+// generateRequests sends requests at random intervals, on average rate a second, until a time.
 func (f *simFleet) generateRequests(rate float64, until time.Duration, retries int) {
 	gap := time.Duration(f.rng.ExpFloat64() / rate * float64(time.Second))
 	if f.Now+gap < until {
@@ -127,7 +127,7 @@
 	return list
 }
 
-// addEndpoint starts an endpoint.
+// addEndpoint adds an endpoint that started at a time; 0 makes it warm.
 func (f *simFleet) addEndpoint(id string, startedAt time.Duration) policy.Endpoint {
 	endpoint := &simEndpoint{fleet: f, Endpoint: policy.Endpoint{ID: id, Weight: 1, StartedAt: startedAt, Zone: len(f.endpoints) % 3}}
 	f.endpointsByID[id] = endpoint
@@ -135,9 +135,11 @@
 	return endpoint.Endpoint
 }
 
-// peakLoadRatio is the nearest approach of any endpoint that is warming up to its bound: the
-// requests that came in a time of the settings' length over N + 2 x root of N + 2, where N is
-// what the settings allow by its capacity when that time begins.
+// peakLoadRatio returns the highest load of any endpoint while it is warming up, relative to
+// the allowed load. The load is the number of requests received in a window of the length
+// OverloadDuration. The allowed load is N + 2*sqrt(N) + 2, where N is OverloadMultiple times
+// the number of requests that the endpoint can serve in the window with its capacity at the
+// start of the window.
 func (f *simFleet) peakLoadRatio() (peak float64) {
 	for _, endpoint := range f.endpoints {
 		if endpoint.StartedAt != 0 {
@@ -158,7 +160,7 @@
 // simRequest is one request of a client.
 type simRequest struct {
 	id       string
-	retries  int // times that the client will ask again
+	retries  int // number of retries left to the client
 	deadline time.Duration
 	attempts []simAttempt
 	done     bool
@@ -170,7 +172,7 @@
 	ended     bool
 }
 
-// start begins a new incarnation.
+// start starts a new incarnation of the gateway, without any state of the previous one.
 func (g *simGateway) start(gatewayIndex int) {
 	settings := g.fleet.settings
 	settings.GatewayIndex, settings.Seed = gatewayIndex, uint64(gatewayIndex+1000*g.incarnation+1)
@@ -183,13 +185,13 @@
 	g.step(policy.EndpointsUpdated{Scope: policy.CachedUpdate, Endpoints: g.fleet.servingEndpoints()})
 }
 
-// step hands over an event and carries out what it calls for.
+// step passes an event to the gateway and carries out the resulting actions.
 func (g *simGateway) step(event policy.Event) {
 	for _, action := range g.policy.Step(g.fleet.Now, event, nil) {
 		switch action := action.(type) {
 		case policy.StartTimer:
 			g.stepAfter(action.After, policy.TimerFired{TimerID: action.TimerID})
-		case policy.AddToCounter: // nobody else asks for this tenant's units
+		case policy.AddToCounter: // no other gateway has requests of this tenant
 			g.stepAfter(ms, policy.CounterReplied{Key: action.Key, Total: max(action.Units, 0)})
 		case policy.StartAttempt:
 			g.startAttempt(action)
@@ -205,7 +207,7 @@
 	}
 }
 
-// stepAfter hands over an event later, unless the gateway has restarted by then.
+// stepAfter passes in an event after a delay, unless the gateway has restarted by then.
 func (g *simGateway) stepAfter(after time.Duration, event policy.Event) {
 	incarnation := g.incarnation
 	g.fleet.After(after, func() {
@@ -215,7 +217,7 @@
 	})
 }
 
-// answer ends a request. A client that is rejected may ask again at once.
+// answer ends a request. If it did not succeed, the client may retry at once.
 func (g *simGateway) answer(id string, succeeded bool) {
 	request := g.requests[id]
 	if request == nil || request.done {
@@ -262,20 +264,20 @@
 	f.After(simOneWayLatency, func() { endpoint.receive(until, end) })
 }
 
-// simEndpoint is an endpoint that works on its requests in turn, as fast as it is warm.
-// What is not begun in its time is not begun at all.
+// simEndpoint is an endpoint that serves its requests one after the other, at a speed given by
+// its slow-start factor. It skips requests that have timed out before their turn.
 type simEndpoint struct {
 	policy.Endpoint
 	fleet         *simFleet
 	crashed       bool
 	busyUntil     time.Duration
 	waiting       int
-	utilization   float64 // share of the time that it works
+	utilization   float64 // moving average of the share of time that it is busy
 	utilizationAt time.Duration
-	received      []time.Duration // when requests came that count for the bound while warming up
+	received      []time.Duration // arrival times of requests, for peakLoadRatio
 }
 
-// slowStartFactor is the part of its capacity that an endpoint has at some time.
+// slowStartFactor returns the share of its full capacity that the endpoint has at a time.
 func (e *simEndpoint) slowStartFactor(at time.Duration) float64 {
 	settings := &e.fleet.settings
 	if e.StartedAt == 0 || at >= e.StartedAt+settings.SlowStartDuration {
@@ -284,7 +286,7 @@
 	return settings.SlowStartCapacity + (1-settings.SlowStartCapacity)*max((at-e.StartedAt).Seconds(), 0)/settings.SlowStartDuration.Seconds()
 }
 
-// receive takes in an attempt that is given up at some time; end tells its outcome.
+// receive queues an attempt that times out at until. It calls end with the attempt's outcome.
 func (e *simEndpoint) receive(until time.Duration, end func(policy.Outcome)) {
 	f := e.fleet
 	if e.crashed {
@@ -297,7 +299,7 @@
 	}
 	e.waiting++
 	begin := max(e.busyUntil, f.Now)
-	if begin >= until { // its time will be over
+	if begin >= until { // it will have timed out
 		f.After(begin-f.Now, func() { e.waiting-- })
 		return
 	}
@@ -306,7 +308,7 @@
 	f.After(e.busyUntil-f.Now, func() { e.serve(work, end) })
 }
 
-// serve ends the work on an attempt.
+// serve finishes an attempt after its service time.
 func (e *simEndpoint) serve(work time.Duration, end func(policy.Outcome)) {
 	f := e.fleet
 	e.waiting--
@@ -318,13 +320,13 @@
 	}
 }
 
-// restart gives an endpoint's id a new process.
+// restart replaces the endpoint's process by a new one with the same ID.
 func (e *simEndpoint) restart() policy.Endpoint {
 	e.crashed, e.StartedAt, e.busyUntil, e.received, e.State = false, e.fleet.Now, e.fleet.Now, nil, policy.Serving
 	return e.Endpoint
 }
 
-// peakLoadRatio is that of this endpoint, see [simFleet.peakLoadRatio].
+// peakLoadRatio returns the peak load ratio of this endpoint, see [simFleet.peakLoadRatio].
 func (e *simEndpoint) peakLoadRatio() (peak float64) {
 	settings := &e.fleet.settings
 	first := 0
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -13,7 +13,7 @@
 	restarted := testEndpoint(0)
 	attempts := 0
 	for i := range 200 {
-		if i == 100 { // one restarts while the others go: only it is left
+		if i == 100 { // s0 restarts while the others are removed, so only s0 is left
 			restarted.StartedAt = h.now
 			h.step(policy.EndpointsUpdated{Scope: policy.FullUpdate, Endpoints: []policy.Endpoint{restarted}})
 		}
@@ -26,15 +26,16 @@
 			h.succeed(id, attempt)
 		}
 	}
-	// 50 a second went to all; 1.8 times a fifth of that, growing to two fifths, for 2 s.
+	// Of 50 requests a second, s0 may get 1.8 times (maxWarmUpShare of OverloadMultiple) its slow-start
+	// factor, which grows from 0.2 to 0.36 in 2 s.
 	if attempts > 56 || attempts == 0 {
-		t.Errorf("an endpoint that is warming up got %d of 100 attempts", attempts)
+		t.Errorf("endpoint that is warming up got %d attempts for 100 requests, want 1 to 56", attempts)
 	}
 }
 
 func TestRequestsForwardedWhileAllEndpointsWarmUp(t *testing.T) {
-	// With every endpoint warming up and nothing forwarded yet, a throttle by own attempts alone would
-	// give nothing for ever.
+	// Guards against a gateway that never forwards: when every endpoint is warming up and no attempt has
+	// ended yet, a throttle that relied on this gateway's own attempts alone would allow none.
 	settings := testSettings()
 	settings.SlowStartDuration = time.Minute
 	h := newHarness(t, settings, 0)
@@ -46,13 +47,14 @@
 	}
 	h.step(update)
 	h.advance(10*time.Second, nil)
-	// A third of the capacity is there by then: 0.2 + 0.8/6. Endpoints are taken to be 1/1.8 busy when warm.
+	// By then the endpoints have a third of their capacity: 0.2 + 0.8/6. Warm endpoints are assumed to have
+	// a utilization of 1/1.8, so 1.8/3 of the requests can be forwarded.
 	if k := h.countAdmitted(300, 1, 1); k < 140 || k > 220 {
 		t.Errorf("%d of 300 requests forwarded 10 s after all endpoints started, want about 180", k)
 	}
 }
 
-// The fleet test's own times and load.
+// Times and load of the simulated fleet.
 const (
 	simEventAt   = 8 * time.Second
 	simEnd       = simEventAt + 10*time.Second
@@ -68,7 +70,7 @@
 	f.sendUpdate(policy.IncrementalUpdate, added...)
 }
 
-// crash removes the endpoints whose number is chosen; gateways hear of it later.
+// crash stops the endpoints whose numbers are chosen; discovery reports it two seconds later.
 func (f *simFleet) crash(chosen func(int) bool) (crashed []*simEndpoint) {
 	var removed []policy.Endpoint
 	for i, endpoint := range f.endpoints {
@@ -82,7 +84,7 @@
 	return crashed
 }
 
-// restartEndpoints restarts crashed endpoints.
+// restartEndpoints restarts crashed endpoints and announces them to the gateways.
 func (f *simFleet) restartEndpoints(crashed []*simEndpoint) {
 	var restarted []policy.Endpoint
 	for _, endpoint := range crashed {
@@ -91,7 +93,7 @@
 	f.sendUpdate(policy.IncrementalUpdate, restarted...)
 }
 
-// replaceEndpoints drains some endpoints, one after the other within a time, and adds a new one for each.
+// replaceEndpoints drains count endpoints, evenly spread over a time, and adds a new one for each.
 func (f *simFleet) replaceEndpoints(count int, within time.Duration) {
 	for i := range count {
 		f.After(time.Duration(i)*within/time.Duration(count), func() {
@@ -102,51 +104,52 @@
 	}
 }
 
-// restartGateways gives every gateway a new incarnation.
+// restartGateways restarts every gateway.
 func (f *simFleet) restartGateways() {
 	for i, gateway := range f.gateways {
 		gateway.start(i)
 	}
 }
 
-// slowStartCase is an event after which endpoints are warming up.
+// slowStartCase is an event after which endpoints are warming up, and the load meanwhile.
 type slowStartCase struct {
 	name    string
-	rate    float64
-	retries int  // times that a client asks again at once
-	large   bool // played with the size to design for as well
+	rate    float64 // requests a second
+	retries int     // immediate retries by a client
+	large   bool    // also run with 840 gateways, the fleet size to design for
 	event   func(f *simFleet)
 }
 
 var slowStartCases = []slowStartCase{
-	{"some join", simUsualLoad, 0, false, func(f *simFleet) { f.addNewEndpoints(3) }},
-	{"one joins under a burst", 1.6 * simUsualLoad, 0, false, func(f *simFleet) { f.addNewEndpoints(1) }},
-	{"a zone back, all warming up", simUsualLoad, 0, false, func(f *simFleet) {
+	{"three endpoints join", simUsualLoad, 0, false, func(f *simFleet) { f.addNewEndpoints(3) }},
+	{"one endpoint joins under high load", 1.6 * simUsualLoad, 0, false, func(f *simFleet) { f.addNewEndpoints(1) }},
+	{"a zone crashes and restarts", simUsualLoad, 0, false, func(f *simFleet) {
 		crashed := f.crash(func(i int) bool { return i%3 == 0 })
 		f.After(5*time.Second, func() { f.restartEndpoints(crashed) })
 	}},
-	{"six in ten replaced", simUsualLoad, 0, false, func(f *simFleet) {
+	{"60% of endpoints replaced", simUsualLoad, 0, false, func(f *simFleet) {
 		f.replaceEndpoints(simEndpoints*6/10, 7*time.Second)
 	}},
-	{"all gateways restarted", simUsualLoad, 0, false, func(f *simFleet) {
+	{"all gateways and a fifth of endpoints restart", simUsualLoad, 0, false, func(f *simFleet) {
 		for i := range 6 {
 			f.endpoints[5*i].restart()
 		}
 		f.restartGateways()
 	}},
-	{"retried at once", 1.3 * simUsualLoad, 2, false, func(f *simFleet) { f.addNewEndpoints(3) }},
-	{"few warm ones left", simUsualLoad, 0, false, func(f *simFleet) {
+	{"three endpoints join, clients retry at once", 1.3 * simUsualLoad, 2, false, func(f *simFleet) { f.addNewEndpoints(3) }},
+	{"five in six endpoints crash and restart", simUsualLoad, 0, false, func(f *simFleet) {
 		crashed := f.crash(func(i int) bool { return i%6 != 0 })
 		f.After(3*time.Second, func() { f.restartEndpoints(crashed) })
 	}},
-	{"few warm ones left, all gateways restarted, retried at once", 1.3 * simUsualLoad, 2, true, func(f *simFleet) {
+	{"all gateways and five in six endpoints restart, clients retry at once", 1.3 * simUsualLoad, 2, true, func(f *simFleet) {
 		f.restartEndpoints(f.crash(func(i int) bool { return i%6 != 0 }))
 		f.restartGateways()
 	}},
 }
 
-// Guards endpoints that are warming up against the sum of what all gateways send them, each
-// of which sees little: in no time of the settings' length does one get more than it can serve.
+// Guards against an overload of endpoints that are warming up: each gateway sends little, but
+// the sum over all gateways must not exceed what an endpoint can handle in any window of the
+// length OverloadDuration.
 func TestFleetNeverOverloadsWarmingUpEndpoint(t *testing.T) {
 	for _, c := range slowStartCases {
 		fleets := []int{20, 30, 80, 300}
@@ -171,11 +174,11 @@
 	c.event(f)
 	f.Run(simEnd - f.Now)
 	peak := f.peakLoadRatio()
-	t.Logf("nearest approach %.2f of the bound, %d of %d requests succeeded", peak, f.succeeded, f.requests)
+	t.Logf("peak load %.2f of the allowed load, %d of %d requests succeeded", peak, f.succeeded, f.requests)
 	if peak == 0 {
-		t.Error("no endpoint that is warming up got anything")
+		t.Error("no endpoint got a request while it was warming up")
 	}
 	if peak > 1 {
-		t.Errorf("an endpoint that is warming up got %.2f times what it can serve", peak)
+		t.Errorf("an endpoint that is warming up got %.2f times its allowed load", peak)
 	}
 }
