--- a/internal/policy/throttle_test.go
+++ b/internal/policy/throttle_test.go
@@ -7,13 +7,13 @@
 	"swiftpitch/internal/policy"
 )
 
-// pendingOutcome is the outcome of an attempt that is still in flight.
+// pendingOutcome is the outcome that an attempt in flight will have.
 type pendingOutcome struct {
 	at    time.Duration
 	ended policy.AttemptEnded
 }
 
-// deliverOutcomes hands over the outcomes that are due and returns the others.
+// deliverOutcomes passes in the outcomes that are due and returns the others.
 func (h *harness) deliverOutcomes(pending []pendingOutcome) []pendingOutcome {
 	kept := pending[:0]
 	for _, outcome := range pending {
@@ -27,7 +27,8 @@
 }
 
 func TestLossesAtAllEndpointsAreNotShedAsOverload(t *testing.T) {
-	// Found in incident ic48e92: a quarter of the attempts lost everywhere, the rest at usual latencies.
+	// Guards against incident ic48e92: a quarter of the attempts were lost at every endpoint, the others had
+	// their usual latencies, and the gateways shed requests as if the endpoints were overloaded.
 	h := newHarness(t, testSettings(), 2)
 	var pending []pendingOutcome
 	rejected := 0
@@ -48,29 +49,31 @@
 		pending = append(pending, pendingOutcome{h.now + ended.Latency, ended})
 	}
 	if rejected > 50 {
-		t.Errorf("%d of 1000 requests rejected though the endpoints answer at their usual latency", rejected)
+		t.Errorf("%d of 1000 requests rejected although answers have their usual latency, want at most 50", rejected)
 	}
 }
 
 func TestAttemptsInFlightShrinkWithFleetSize(t *testing.T) {
-	// Found in incident i6186b0: each of many gateways adds its few attempts to the same endpoints.
+	// Guards against incident i6186b0: many gateways each add a few attempts at the same endpoints, whose
+	// queues grow though each gateway has few attempts in flight.
 	inFlight := func(gateways int) (attempts int) {
 		settings := testSettings()
 		settings.Gateways = gateways
 		h := newHarness(t, settings, 4)
-		for range 200 { // all at once, nothing is answered
+		for range 200 { // all at the same time, no attempt ends
 			_, actions := h.receive(0, 1, 1, 1)
 			attempts += len(startedAttempts(actions))
 		}
 		return attempts
 	}
 	if few, many := inFlight(3), inFlight(12); many*3 > few*2 {
-		t.Errorf("one of 12 gateways has %d attempts in flight, one of 3 has %d", many, few)
+		t.Errorf("one of 12 gateways has %d attempts in flight, one of 3 has %d; want at most two thirds of that", many, few)
 	}
 }
 
 func TestThrottleReducesAttemptsWhenAllTimeOut(t *testing.T) {
-	// Found in incident i2861ff: all endpoints fall behind, and a gateway of few attempts sees no queue.
+	// Guards against incident i2861ff: all endpoints are overloaded, and a gateway with few attempts sees
+	// no queue.
 	attemptsWith := func(lostOfTen int) (attempts int) {
 		settings := testSettings()
 		settings.AllowHedging, settings.Gateways = false, 100
@@ -91,6 +94,7 @@
 		return attempts
 	}
 	if few, most := attemptsWith(2), attemptsWith(10); few < 380 || most > 200 || most == 0 {
-		t.Errorf("of 400 requests %d forwarded where a fifth is lost, want all; %d where all are, want few", few, most)
+		t.Errorf("of 400 requests, %d forwarded when a fifth of the attempts time out, want at least 380; "+
+			"%d forwarded when all time out, want 1 to 200", few, most)
 	}
 }
