--- a/internal/policy/balancer.go
+++ b/internal/policy/balancer.go
@@ -152,7 +152,7 @@
 // their latencies, so that neither they nor the warm endpoints get more than their share.
 // Two limits keep the load from all gateways together well below an overload: an endpoint
 // that is warming up gets at most maxWarmUpShare of OverloadMultiple times the mean load,
-// even if too few endpoints are left, and next to none of the load that nobody answers.
+// even if too few endpoints are left, and almost no load while no attempts are answered.
 func (b *balancer) preferWarmingUp(s *candidateSelection, listed int) bool {
 	if s.warmingUp == nil || s.bestScore <= 0 {
 		return false
--- a/internal/policy/balancer_test.go
+++ b/internal/policy/balancer_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 func TestGatewayUsesSubsetOfEndpoints(t *testing.T) {
-	// Guards against incident i530123: hundreds of gateways were each connected to every endpoint, and
-	// had too few recent outcomes of any of them.
+	// Incident i530123: hundreds of gateways were each connected to every endpoint, and had too few recent
+	// outcomes of any of them.
 	usedBy := func(gatewayIndex int) map[string]bool {
 		settings := testSettings()
 		settings.Gateways, settings.GatewayIndex = 200, gatewayIndex
--- a/internal/policy/event.go
+++ b/internal/policy/event.go
@@ -13,7 +13,7 @@
 const (
 	Succeeded      Outcome = iota // answered with success
 	ServerError                   // answered with an error
-	Overloaded                    // rejected by the endpoint before it ran
+	Overloaded                    // rejected by the endpoint, so it never ran
 	TimedOut                      // no answer in time
 	ConnectFailed                 // no connection, so it never ran
 	ConnectionLost                // the connection broke before the answer was complete
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -26,7 +26,7 @@
 	tenant                *tenantState
 	units                 float64
 	chargedToSharedBucket bool // its units were taken from the tenant's shared bucket
-	objectiveAt           Time // later answers earn only the late weight
+	objectiveAt           Time // end of the latency objective, less a margin; at most deadline
 	deadline              Time // when the client gives up
 	attempts              []attempt
 	done                  bool // it has its final answer
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -1,7 +1,7 @@
 package policy
 
 const (
-	maxAttempts           = 4    // upper limit on Settings.MaxAttempts
+	maxAttempts           = 4    // limit for one request, even if Settings.MaxAttempts is higher
 	retryTokensPerRequest = 0.2  // retry tokens that each first attempt adds
 	maxRetryTokens        = 20.0 // retry tokens that the budget can hold
 )
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -30,7 +30,7 @@
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // for IdempotentByKey only
 	DedupWindow      time.Duration // for IdempotentByKey only: how long duplicates are dropped
-	LateWeight       float64       // share of the weight earned between objective and deadline
+	LateWeight       float64       // share of PriorityWeight that an answer earns between objective and deadline
 	PriorityWeight   float64       // value of an answer relative to other classes
 	Streaming        bool          // the response is streamed to the client
 }
@@ -45,8 +45,8 @@
 	HardLimitBurst     float64 // units that the hard limit's bucket holds
 	HardLimitTolerance float64 // units by which the hard limit's bucket may go below zero
 	PriorityWeight     float64 // factor on the class's priority weight
-	OverQuotaWeight    float64 // share of the weight that a request beyond the quota earns
-	OverQuotaCost      float64 // share of the weight that forwarding a request beyond the quota costs
+	OverQuotaWeight    float64 // share of the priority weight that a request beyond the quota earns
+	OverQuotaCost      float64 // share of the priority weight that forwarding a request beyond the quota costs
 }
 
 // Settings describes the deployment to a gateway when it starts. All fields are facts about
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -26,8 +26,8 @@
 			h.succeed(id, attempt)
 		}
 	}
-	// Of 50 requests a second, s0 may get 1.8 times (maxWarmUpShare of OverloadMultiple) its slow-start
-	// factor, which grows from 0.2 to 0.36 in 2 s.
+	// The share of the requests that s0 may get is its slow-start factor, which grows from 0.2 to 0.36 in
+	// these 2 s, times 1.8, which is maxWarmUpShare of OverloadMultiple.
 	if attempts > 56 || attempts == 0 {
 		t.Errorf("endpoint that is warming up got %d attempts for 100 requests, want 1 to 56", attempts)
 	}
--- a/internal/policy/throttle.go
+++ b/internal/policy/throttle.go
@@ -9,7 +9,7 @@
 const (
 	maxStartedPerSuccess = 1.3             // requests are shed while there are more attempts than this for each answer in time
 	throttleWindow       = 3 * time.Second // time constant with which the counts decay
-	ignoredFailures      = 1.5             // so many attempts without an answer in time do not cause shedding
+	ignoredFailures      = 1.5             // this many attempts without an answer in time cause no shedding
 
 	// Attempts that all gateways together start at each endpoint before any answer is known.
 	// With maxWarmUpShare, this makes two at an endpoint that is warming up.
@@ -20,9 +20,9 @@
 )
 
 // throttle sheds requests so that the number of attempts stays close to the number that is
-// answered in time. It protects endpoints that are all overloaded, which a single gateway
-// with few attempts cannot tell from their latency. A loss of a quarter of the answers does
-// not trigger it. Its counts decay with the time constant throttleWindow.
+// answered in time. It protects endpoints that are all overloaded, where a gateway with few
+// attempts would see no queue. A loss of a quarter of the answers does not trigger it. Its
+// counts decay with the time constant throttleWindow.
 type throttle struct {
 	settings  *Settings
 	rng       *rand.Rand
@@ -36,10 +36,11 @@
 	return throttle{settings: settings, rng: rng}
 }
 
-// shouldShed reports whether to shed r because even ep, the best endpoint, would probably
-// answer after the latency objective; expectedLatency is the expected latency there in
-// seconds. Shedding does not help endpoints that are slow without a queue, so endpoints
-// without attempts of this gateway still get some requests.
+// shouldShed reports whether to shed r: at random while too few attempts are answered in
+// time, or because even ep, the best endpoint, would probably answer after the latency
+// objective; expectedLatency is the expected latency there in seconds. Shedding does not
+// help endpoints that are slow without a queue, so endpoints without attempts of this
+// gateway still get some requests.
 //
 // The expected latency counts a full service time for each attempt in the queue, though
 // endpoints work on several at once. The limits allow for that; higher ones let queues grow
--- a/internal/policy/throttle_test.go
+++ b/internal/policy/throttle_test.go
@@ -27,8 +27,8 @@
 }
 
 func TestLossesAtAllEndpointsAreNotShedAsOverload(t *testing.T) {
-	// Guards against incident ic48e92: a quarter of the attempts were lost at every endpoint, the others had
-	// their usual latencies, and the gateways shed requests as if the endpoints were overloaded.
+	// Incident ic48e92: a quarter of the attempts were lost at every endpoint, and the others had their usual
+	// latencies. Such losses must not shed requests as an overload does.
 	h := newHarness(t, testSettings(), 2)
 	var pending []pendingOutcome
 	rejected := 0
@@ -54,8 +54,8 @@
 }
 
 func TestAttemptsInFlightShrinkWithFleetSize(t *testing.T) {
-	// Guards against incident i6186b0: many gateways each add a few attempts at the same endpoints, whose
-	// queues grow though each gateway has few attempts in flight.
+	// Incident i6186b0: many gateways each added a few attempts at the same endpoints. The more gateways, the
+	// fewer attempts each may have in flight.
 	inFlight := func(gateways int) (attempts int) {
 		settings := testSettings()
 		settings.Gateways = gateways
@@ -72,8 +72,7 @@
 }
 
 func TestThrottleReducesAttemptsWhenAllTimeOut(t *testing.T) {
-	// Guards against incident i2861ff: all endpoints are overloaded, and a gateway with few attempts sees
-	// no queue.
+	// Incident i2861ff: all endpoints were overloaded, and a gateway with few attempts saw no queue.
 	attemptsWith := func(lostOfTen int) (attempts int) {
 		settings := testSettings()
 		settings.AllowHedging, settings.Gateways = false, 100
