--- a/internal/policy/action.go
+++ b/internal/policy/action.go
@@ -20,7 +20,7 @@
 	Attempt   int
 }
 
-// Reject is a final answer that tells the client that a retry does no harm.
+// Reject is a final answer that tells the client that it may safely retry.
 type Reject struct {
 	RequestID  string
 	RetryAfter time.Duration // how long the client should wait before a retry; 0: unspecified
--- a/internal/policy/endpoint_test.go
+++ b/internal/policy/endpoint_test.go
@@ -46,7 +46,7 @@
 	before := heap()
 	replace(100, 3000)
 	if after := heap(); after > before+200_000 {
-		t.Errorf("%d removed endpoints still take %d bytes", 2900, after-before)
+		t.Errorf("%d removed endpoints still take %d bytes, want at most 200000", 2900, after-before)
 	}
 	runtime.KeepAlive(h)
 }
