--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -7,21 +7,21 @@
 	"swiftpitch/internal/policy"
 )
 
-// timeOut lets an attempt's timeout pass and ends it without an answer.
+// timeOut lets an attempt's timeout pass and then ends the attempt as timed out.
 func (h *harness) timeOut(id string, number int, attempt policy.StartAttempt) {
 	h.advance(attempt.Timeout, replyWithTotal(0))
 	h.step(policy.AttemptEnded{RequestID: id, Attempt: number, Endpoint: attempt.Endpoint,
 		Outcome: policy.TimedOut, Latency: attempt.Timeout})
 }
 
-// attemptsAtFaultyEndpoint offers 400 requests of a class to four endpoints, of which one fails
-// each of its attempts in the way of fail. It returns how many attempts that one got of the
-// requests after the first hundred.
-func attemptsAtFaultyEndpoint(t *testing.T, class int, fail func(*harness, policy.StartAttempt)) (late int) {
+// attemptsAtFaultyEndpoint sends 400 requests of a class to four endpoints. Attempts at the
+// endpoint s1 end by fail, the others succeed. It returns the number of attempts at s1 from
+// the requests after the first hundred.
+func attemptsAtFaultyEndpoint(t *testing.T, class int, fail func(*harness, policy.StartAttempt)) (attempts int) {
 	t.Helper()
-	set := settings()
-	set.AllowHedging = false
-	h := newHarness(t, set, 4)
+	settings := testSettings()
+	settings.AllowHedging = false
+	h := newHarness(t, settings, 4)
 	for i := range 400 {
 		h.advance(20*ms, replyWithTotal(0))
 		id, actions := h.receive(class, 1, 1, 1)
@@ -31,38 +31,38 @@
 				continue
 			}
 			if i > 100 {
-				late++
+				attempts++
 			}
 			fail(h, attempt)
 		}
 	}
-	return late
+	return attempts
 }
 
 func TestHangingEndpointIsEjected(t *testing.T) {
-	late := attemptsAtFaultyEndpoint(t, 0, func(h *harness, attempt policy.StartAttempt) {
+	attempts := attemptsAtFaultyEndpoint(t, 0, func(h *harness, attempt policy.StartAttempt) {
 		h.timeOut(attempt.RequestID, 0, attempt)
 	})
-	if late > 15 {
-		t.Errorf("%d of 300 requests still went to an endpoint that answers nothing", late)
+	if attempts > 15 {
+		t.Errorf("%d of 300 requests went to an endpoint that times out, want at most 15", attempts)
 	}
 }
 
 func TestFastFailingEndpointIsEjected(t *testing.T) {
-	late := attemptsAtFaultyEndpoint(t, 2, func(h *harness, attempt policy.StartAttempt) {
+	attempts := attemptsAtFaultyEndpoint(t, 2, func(h *harness, attempt policy.StartAttempt) {
 		h.step(policy.AttemptEnded{RequestID: attempt.RequestID, Endpoint: attempt.Endpoint,
 			Outcome: policy.ServerError, Latency: ms})
 	})
-	if late > 3 {
-		t.Errorf("%d of 300 requests that are not idempotent went to an endpoint that fails them", late)
+	if attempts > 3 {
+		t.Errorf("%d of 300 non-idempotent requests went to an endpoint that fails them, want at most 3", attempts)
 	}
 }
 
-func TestReadmittedEndpointsAreNotThrottledToNothing(t *testing.T) {
-	// Found on a deployment: after all endpoints had been ejected and had come back, a gateway that
-	// had forwarded nothing meanwhile allowed itself nothing.
-	h := newHarness(t, settings(), 3)
-	for range 60 { // nobody answers
+func TestThrottleRecoversAfterAllEndpointsReturn(t *testing.T) {
+	// Guards against a failure seen in a deployment: after all endpoints had been ejected and had
+	// recovered, the throttle of a gateway that had forwarded nothing meanwhile shed every request.
+	h := newHarness(t, testSettings(), 3)
+	for range 60 { // all attempts time out
 		h.advance(50*ms, replyWithTotal(0))
 		id, actions := h.receive(0, 1, 1, 1)
 		for number, attempt := range startedAttempts(actions) {
@@ -80,12 +80,12 @@
 		}
 	}
 	if forwarded < 50 {
-		t.Errorf("%d of 100 requests forwarded after the endpoints came back", forwarded)
+		t.Errorf("%d of 100 requests forwarded after the endpoints recovered, want at least 50", forwarded)
 	}
 }
 
-func TestAllHangingEndpointsAreNotAllEjected(t *testing.T) {
-	h := newHarness(t, settings(), 3)
+func TestAttemptsContinueWhenAllEndpointsHang(t *testing.T) {
+	h := newHarness(t, testSettings(), 3)
 	attempts := 0
 	for i := range 200 {
 		h.advance(50*ms, replyWithTotal(0))
@@ -98,14 +98,14 @@
 		}
 	}
 	if attempts == 0 {
-		t.Error("with every endpoint silent no attempt starts any more")
+		t.Error("no attempt starts any more while all endpoints time out")
 	}
 }
 
-func TestEjectedEndpointsAreHealthCheckedFirstWhereAllowed(t *testing.T) {
-	set := settings()
-	set.AllowHedging, set.AllowHealthChecks = false, true
-	h := newHarness(t, set, 4)
+func TestHealthCheckPrecedesRecoveryTrial(t *testing.T) {
+	settings := testSettings()
+	settings.AllowHedging, settings.AllowHealthChecks = false, true
+	h := newHarness(t, settings, 4)
 	healthChecks, attemptsAfter := 0, 0
 	for range 300 {
 		h.advance(20*ms, replyWithTotal(0))
@@ -128,6 +128,7 @@
 		}
 	}
 	if healthChecks == 0 || attemptsAfter > 0 {
-		t.Errorf("%d health checks, and %d requests to an endpoint that fails them", healthChecks, attemptsAfter)
+		t.Errorf("%d health checks, want some; %d attempts at an endpoint after its failed health checks, want none",
+			healthChecks, attemptsAfter)
 	}
 }
--- a/internal/policy/validate_test.go
+++ b/internal/policy/validate_test.go
@@ -10,32 +10,32 @@
 	"swiftpitch/internal/policy"
 )
 
-func TestBadSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*policy.Settings){
+func TestNewRejectsInvalidSettings(t *testing.T) {
+	for name, invalidate := range map[string]func(*policy.Settings){
 		"no gateways":   func(s *policy.Settings) { s.Gateways = 0 },
-		"rank":          func(s *policy.Settings) { s.GatewayIndex = 3 },
+		"gateway index": func(s *policy.Settings) { s.GatewayIndex = 3 },
 		"no classes":    func(s *policy.Settings) { s.Classes = nil },
 		"no plans":      func(s *policy.Settings) { s.Plans = nil },
 		"negative rate": func(s *policy.Settings) { s.Plans[0].Rate = -1 },
 		"no attempts":   func(s *policy.Settings) { s.MaxAttempts = 0 },
 	} {
-		set := settings()
-		spoil(&set)
-		if _, err := policy.New(0, set); err == nil {
-			t.Errorf("%s: no error", name)
+		settings := testSettings()
+		invalidate(&settings)
+		if _, err := policy.New(0, settings); err == nil {
+			t.Errorf("%s: New returned no error", name)
 		}
 	}
 }
 
-func TestSettingsErrorNamesTheFieldAtFault(t *testing.T) {
+func TestSettingsErrorNamesInvalidField(t *testing.T) {
 	for _, test := range []struct {
-		spoil func(*policy.Settings)
-		want  policy.SettingsError // without its reason
-		text  string               // part of the message
+		invalidate func(*policy.Settings)
+		want       policy.SettingsError // its Reason is not compared
+		text       string               // must be part of the message
 	}{
 		{func(s *policy.Settings) { s.Gateways = 0 }, policy.SettingsError{Field: "Gateways"}, "0 gateways, 5 attempts"},
 		{func(s *policy.Settings) { s.MaxAttempts = 0 }, policy.SettingsError{Field: "MaxAttempts"}, "3 gateways, 0 attempts"},
-		{func(s *policy.Settings) { s.GatewayIndex = -1 }, policy.SettingsError{Field: "GatewayIndex"}, "rank -1"},
+		{func(s *policy.Settings) { s.GatewayIndex = -1 }, policy.SettingsError{Field: "GatewayIndex"}, "gateway index -1"},
 		{func(s *policy.Settings) { s.Classes = nil }, policy.SettingsError{Field: "Classes"}, "no classes"},
 		{func(s *policy.Settings) { s.Plans = nil }, policy.SettingsError{Field: "Plans"}, "no plans"},
 		{func(s *policy.Settings) { s.SlowStartCapacity = 1.5 }, policy.SettingsError{Field: "SlowStartCapacity"}, "1.5"},
@@ -55,19 +55,19 @@
 		{func(s *policy.Settings) { s.Plans[3].MaxConcurrent = -1 },
 			policy.SettingsError{Section: "plan", Index: 3, Field: "MaxConcurrent"}, "plan 3: MaxConcurrent: -1"},
 	} {
-		set := settings()
-		test.spoil(&set)
-		_, err := policy.New(0, set)
+		settings := testSettings()
+		test.invalidate(&settings)
+		_, err := policy.New(0, settings)
 		var got *policy.SettingsError
 		if !errors.As(err, &got) {
-			t.Errorf("want an error for %+v, got %v", test.want, err)
+			t.Errorf("got error %v, want a SettingsError for %+v", err, test.want)
 			continue
 		}
 		if got.Section != test.want.Section || got.Index != test.want.Index || got.Field != test.want.Field {
-			t.Errorf("got an error for %s %d field %s, want %+v", got.Section, got.Index, got.Field, test.want)
+			t.Errorf("got a SettingsError for section %q, index %d, field %s; want %+v", got.Section, got.Index, got.Field, test.want)
 		}
 		if !strings.Contains(err.Error(), test.text) {
-			t.Errorf("the message %q lacks %q", err, test.text)
+			t.Errorf("message %q does not contain %q", err, test.text)
 		}
 	}
 }
