--- a/internal/policy/balancer_test.go
+++ b/internal/policy/balancer_test.go
@@ -2,12 +2,13 @@
 
 import "testing"
 
-func TestGatewayUsesASubsetOfManyEndpoints(t *testing.T) {
-	// Found in incident i530123: hundreds of gateways, each connected to every endpoint and knowing none.
+func TestGatewayUsesSubsetOfEndpoints(t *testing.T) {
+	// Incident i530123: hundreds of gateways were each connected to every endpoint, and had too few recent
+	// outcomes of any of them.
 	usedBy := func(gatewayIndex int) map[string]bool {
-		set := settings()
-		set.Gateways, set.GatewayIndex = 200, gatewayIndex
-		h := newHarness(t, set, 100)
+		settings := testSettings()
+		settings.Gateways, settings.GatewayIndex = 200, gatewayIndex
+		h := newHarness(t, settings, 100)
 		used := map[string]bool{}
 		for range 500 {
 			id, actions := h.receive(0, 1, 1, 1)
@@ -22,13 +23,13 @@
 	for gatewayIndex := range 40 {
 		used := usedBy(gatewayIndex)
 		if len(used) > 25 || len(used) < 8 {
-			t.Errorf("gateway %d uses %d of 100 endpoints", gatewayIndex, len(used))
+			t.Errorf("gateway %d uses %d of 100 endpoints, want 8 to 25", gatewayIndex, len(used))
 		}
 		for endpoint := range used {
 			usedByAny[endpoint] = true
 		}
 	}
 	if len(usedByAny) < 95 {
-		t.Errorf("40 gateways use %d of 100 endpoints", len(usedByAny))
+		t.Errorf("40 gateways together use %d of 100 endpoints, want at least 95", len(usedByAny))
 	}
 }
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -45,7 +45,7 @@
 func TestFleetBalancesByCapacityDuringWarmUp(t *testing.T) {
 	for _, warmingUp := range []int{3, 22, 36} {
 		t.Run(fmt.Sprint(warmingUp, " warming up"), func(t *testing.T) {
-			set := settings()
+			set := testSettings()
 			set.SlowStartCapacity, set.SlowStartDuration = 0.4, time.Hour // the capacity stays at 0.4 for the whole test
 			attempts := map[string]float64{}
 			total := 0.0
@@ -72,7 +72,7 @@
 				t.Errorf("endpoints warming up got %.3f of all attempts, want within 25%% of their %.3f of the capacity", toWarmingUp/total, want)
 			}
 			if maxShare > set.OverloadMultiple {
-				t.Errorf("an endpoint warming up got %.2f times its share of the mean load, want at most %v, which overloads it", maxShare, set.OverloadMultiple)
+				t.Errorf("an endpoint warming up got %.2f times its share of the mean load, want at most %v, the multiple that overloads it", maxShare, set.OverloadMultiple)
 			}
 		})
 	}
@@ -176,7 +176,7 @@
 func TestFleetUsesAndHoldsQuotaOfTenantsOnManyGateways(t *testing.T) {
 	// Plan 0 has 4 units per second and a burst of 8. A tenant within that rate sends each of the 60 gateways a request
 	// about every 20 s. Half of the tenants send 11 units in one second of four, the others four times their quota.
-	set := settings()
+	set := testSettings()
 	set.Plans[0].OverQuotaCost = 1
 	const seconds = 60
 	traffic := &tenantTraffic{
@@ -214,7 +214,7 @@
 func TestFleetKeepsCounterQueueShort(t *testing.T) {
 	// The counter can serve a third of the calls that the fleet would make. A reply that comes after requests are no
 	// longer held is useless, so the gateways together must make fewer calls than the counter serves.
-	set := settings()
+	set := testSettings()
 	set.Plans[0].OverQuotaCost = 1
 	counter := &queueingCounter{fakeCounter: fakeCounter{}, serviceTime: 10 * ms}
 	gateways := newFleet(t, 60, set, newEndpointList(0, 0))
@@ -303,7 +303,7 @@
 	const seconds, gateways, tenants = 40, 30, 30
 	for _, serviceTime := range []time.Duration{4 * ms, 20 * ms} { // a counter with capacity to spare, and a slow one
 		t.Run(fmt.Sprint("counter service time ", serviceTime), func(t *testing.T) {
-			set := settings()
+			set := testSettings()
 			set.Plans[0].OverQuotaCost = 1
 			harnesses := newFleet(t, gateways, set, newEndpointList(0, 0))
 			quotas := newQuotaOracle(tenants, harnesses[0].now)
--- a/internal/policy/quota_test.go
+++ b/internal/policy/quota_test.go
@@ -9,7 +9,7 @@
 
 func TestInitialAllocationIsAnEvenShare(t *testing.T) {
 	// A burst of 8 units over 3 gateways is 2.67 units each: two requests of one unit.
-	if admitted := newHarness(t, settings(), 6).countAdmitted(8, 0, 1); admitted < 2 || admitted > 4 {
+	if admitted := newHarness(t, testSettings(), 6).countAdmitted(8, 0, 1); admitted < 2 || admitted > 4 {
 		t.Errorf("new tenant: %d units admitted at once, want 2 to 4 (a third of the burst of 8)", admitted)
 	}
 }
@@ -28,17 +28,17 @@
 
 func TestAllocationFollowsTheDemandShareOverQuota(t *testing.T) {
 	// The quota of an interval is 4·2 = 8 units. Local demand 5 of fleet demand 10: 5/10·8 = 4 per interval, 40 in 20 s.
-	if admitted := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(10)); admitted < 37 || admitted > 43 {
+	if admitted := admittedAtSteadyDemand(newHarness(t, testSettings(), 6), replyWithTotal(10)); admitted < 37 || admitted > 43 {
 		t.Errorf("half of the fleet's demand: %d units admitted, want 37 to 43 of the quota of 80", admitted)
 	}
 	// Local demand 5 of fleet demand 20: 5/20·8 = 2 per interval, above the least allocation of 0.7·8/3 = 1.87; 20 in 20 s.
-	if admitted := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(20)); admitted < 17 || admitted > 23 {
+	if admitted := admittedAtSteadyDemand(newHarness(t, testSettings(), 6), replyWithTotal(20)); admitted < 17 || admitted > 23 {
 		t.Errorf("a quarter of the fleet's demand: %d units admitted, want 17 to 23 of the quota of 80", admitted)
 	}
 }
 
 func TestDemandWithinQuotaIsAdmitted(t *testing.T) {
-	if admitted := admittedAtSteadyDemand(newHarness(t, settings(), 6), replyWithTotal(6)); admitted < 49 {
+	if admitted := admittedAtSteadyDemand(newHarness(t, testSettings(), 6), replyWithTotal(6)); admitted < 49 {
 		t.Errorf("fleet demand below the quota: %d of 50 offered units admitted, want at least 49", admitted)
 	}
 }
@@ -48,7 +48,7 @@
 		"unresponsive": replyWithOutcome(policy.TimedOut),
 		"reset":        replyWithTotal(0),
 	} {
-		h := newHarness(t, settings(), 6)
+		h := newHarness(t, testSettings(), 6)
 		admittedAtSteadyDemand(h, replyWithTotal(20))
 		if admitted := admittedAtSteadyDemand(h, reply); admitted > 24 {
 			t.Errorf("%s counter: %d units admitted, want at most 24, near the last allocation of 20", name, admitted)
@@ -57,7 +57,7 @@
 }
 
 func TestReadRepeatsAFailedCounterAdd(t *testing.T) {
-	h := newHarness(t, settings(), 6)
+	h := newHarness(t, testSettings(), 6)
 	h.countAdmitted(2, 0, 1)
 	var calls []policy.AddToCounter
 	overloaded := replyWithOutcome(policy.Overloaded)
@@ -71,15 +71,16 @@
 }
 
 func TestHardLimitHoldsAcrossRestarts(t *testing.T) {
-	// An incarnation does not know how much of the hard limit earlier ones spent, so it starts with none of it left:
-	// it finds their record at the counter, or assumes that there is one if the counter does not respond.
+	// An incarnation is one run of a gateway's process. It does not know how much of the hard limit earlier ones spent,
+	// so it starts with none of it left: it finds their record at the counter, or assumes that there is one if the
+	// counter does not respond.
 	units, counter := 0, fakeCounter{}
 	for incarnation := range 5 {
 		reply := counter.add
 		if incarnation == 3 {
 			reply = replyWithOutcome(policy.Overloaded)
 		}
-		h := newHarnessAt(t, time.Duration(1000+2*incarnation)*time.Second, settings(), 6)
+		h := newHarnessAt(t, time.Duration(1000+2*incarnation)*time.Second, testSettings(), 6)
 		for range 20 {
 			units += h.countAdmitted(2, 2, 9)
 			h.advance(100*ms, reply)
@@ -96,7 +97,7 @@
 
 func TestFirstIncarnationStartsWithItsHardLimitShare(t *testing.T) {
 	// Without a record of an earlier incarnation the whole share is available at once, not only after its refill.
-	h, counter := newHarness(t, settings(), 6), fakeCounter{}
+	h, counter := newHarness(t, testSettings(), 6), fakeCounter{}
 	h.countAdmitted(1, 2, 9)
 	h.advance(50*ms, counter.add)
 	if units := h.countAdmitted(20, 2, 9); units < 4 {
@@ -104,7 +105,7 @@
 	}
 	// The record is kept when its counter key changes: an incarnation that follows a long one finds it.
 	h.advance(65*time.Second, counter.add)
-	h = newHarnessAt(t, h.now+time.Second, settings(), 6)
+	h = newHarnessAt(t, h.now+time.Second, testSettings(), 6)
 	units := h.countAdmitted(1, 2, 9)
 	h.advance(50*ms, counter.add)
 	if units += h.countAdmitted(20, 2, 9); units > 1 {
@@ -112,9 +113,9 @@
 	}
 }
 
-func TestRetriesLeaveTokensForFirstAttempts(t *testing.T) {
-	// Late retries must not use up tokens that first attempts then lack, as they did under low load.
-	h := newHarness(t, settings(), 6)
+func TestRetriesLeaveTokensForNewRequests(t *testing.T) {
+	// Late retries must not use up tokens that new requests then lack, as they did under low load.
+	h := newHarness(t, testSettings(), 6)
 	retryAdmitted := func() bool {
 		_, actions := h.receiveEvent(policy.RequestReceived{Tenant: 1, Timeout: time.Second, Units: 1, TenantGateways: 3, IsRetry: true})
 		return h.succeedAll(startedAttempts(actions)) > 0
@@ -126,14 +127,14 @@
 		t.Error("retry admitted though the token bucket is partly used")
 	}
 	if h.countAdmitted(1, 0, 1) != 1 {
-		t.Error("first attempt rejected though the token bucket is only partly used")
+		t.Error("new request rejected though the token bucket is only partly used")
 	}
 }
 
 func TestFailingCounterIsCalledLess(t *testing.T) {
 	// A counter that gets more calls than it can serve fails all of them, so the gateway must call it less.
 	calls := func(outcome policy.Outcome) (count int) {
-		h := newHarness(t, settings(), 6)
+		h := newHarness(t, testSettings(), 6)
 		for range 100 {
 			h.advance(400*ms, func(call policy.AddToCounter) policy.CounterReplied {
 				count++
@@ -151,7 +152,7 @@
 
 func TestLimitOnConcurrentAttempts(t *testing.T) {
 	// A limit of 3 concurrent attempts over 3 gateways allows one in flight at each.
-	h := newHarness(t, settings(), 6)
+	h := newHarness(t, testSettings(), 6)
 	id, actions := h.receive(0, 3, 5, 1)
 	first := startedAttempts(actions)
 	if _, actions := h.receive(0, 3, 5, 1); len(first) != 1 || !hasAction[policy.Reject](actions) {
@@ -166,7 +167,7 @@
 func TestAllocationIsChargedActualUnits(t *testing.T) {
 	// A third of the burst of 8 is 2.67 units; a request that was charged 1 unit and used 3 leaves none of it.
 	for actualUnits, want := range map[float64]int{1: 1, 3: 0} {
-		set := settings()
+		set := testSettings()
 		set.ActualUnitsReported = true
 		h := newHarness(t, set, 6)
 		id, actions := h.receive(0, 0, 1, 1)
@@ -180,7 +181,7 @@
 
 func TestLateAddRepliesKeepTheAllocation(t *testing.T) {
 	// The replies to adds time out although the counter added the units, and the reads return the total.
-	h := newHarness(t, settings(), 6)
+	h := newHarness(t, testSettings(), 6)
 	admitted := admittedAtSteadyDemand(h, func(call policy.AddToCounter) policy.CounterReplied {
 		if call.Units > 0 {
 			return policy.CounterReplied{Key: call.Key, Outcome: policy.TimedOut}
@@ -193,7 +194,7 @@
 }
 
 func TestQuotaIsSplitEvenlyWithoutCounter(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.CounterEnabled = false
 	h := newHarness(t, set, 6)
 	units := 0
@@ -219,7 +220,7 @@
 		{"counter does not respond", 0, policy.TimedOut, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			set := settings()
+			set := testSettings()
 			set.Plans[0] = policy.Plan{Rate: 10, Burst: 20, PriorityWeight: 1}
 			h, counter := newHarness(t, set, 6), fakeCounter{}
 			for range 40 { // well under the quota, also by the totals
--- a/internal/policy/sharedbucket_test.go
+++ b/internal/policy/sharedbucket_test.go
@@ -23,7 +23,7 @@
 func TestSharedBucketDecidesForSmallShares(t *testing.T) {
 	// The total at the counter decides, not an allocation, if a gateway's share of the quota is less than a request.
 	decide := func(total float64, timeout time.Duration) (calls, admitted int) {
-		set := settings()
+		set := testSettings()
 		set.Plans[0].OverQuotaCost, set.CounterTimeout = 1, 400*ms
 		h := newHarness(t, set, 6)
 		for i := range 40 {
@@ -54,7 +54,7 @@
 func TestRequestIsHeldNoLongerThanCounterTimeout(t *testing.T) {
 	// A counter call may take longer than CounterTimeout. A request is held no longer than that, and a total that comes
 	// later does not decide it again.
-	h := newHarness(t, settings(), 6)
+	h := newHarness(t, testSettings(), 6)
 	held := 0
 	for i := range 40 {
 		_, actions := h.receiveEvent(sharedBucketRequest(uint64(i), 2*time.Second))
@@ -79,7 +79,7 @@
 func TestNoRequestIsHeldAfterAStall(t *testing.T) {
 	// After a stall, a gateway works through a backlog of old requests. Holding these for counter calls would take them
 	// past the deadlines of their clients.
-	h := newHarness(t, settings(), 6)
+	h := newHarness(t, testSettings(), 6)
 	h.advance(time.Second, replyWithTotal(0))
 	h.now += 2 * time.Second // no event is handled in this time
 	for i := range 20 {
@@ -95,7 +95,7 @@
 // their calls.
 func admittedByFleet(t *testing.T, gateways int, demandMultiple float64, rejectedShare float64) (units float64) {
 	t.Helper()
-	set := settings()
+	set := testSettings()
 	set.Gateways, set.Plans[0].OverQuotaCost = gateways, 1
 	rng := rand.New(rand.NewPCG(3, uint64(gateways)))
 	var harnesses []*harness
@@ -154,7 +154,7 @@
 
 func TestSharedBucketIsChargedActualUnits(t *testing.T) {
 	for actualUnits, want := range map[float64]float64{1: 1, 3: 3} {
-		set := settings()
+		set := testSettings()
 		set.ActualUnitsReported, set.Plans[0].OverQuotaCost = true, 1
 		// largestTotal returns the largest total at the counter after one request, which is that of the tenant's bucket.
 		largestTotal := func(end func(h *harness, counter fakeCounter, attempts []policy.StartAttempt)) float64 {
