--- a/internal/policy/action.go
+++ b/internal/policy/action.go
@@ -20,7 +20,8 @@
 	Attempt   int
 }
 
-// Reject is a final answer that tells the client that it may safely retry.
+// Reject is a final answer after which the client may safely retry: the request never ran,
+// or it is idempotent, or every endpoint drops its duplicates within the class's DedupWindow.
 type Reject struct {
 	RequestID  string
 	RetryAfter time.Duration // how long the client should wait before a retry; 0: unspecified
--- a/internal/policy/answer.go
+++ b/internal/policy/answer.go
@@ -7,7 +7,7 @@
 
 // rejectOrFail ends a request that was not served. It rejects the request if a retry by the
 // client is safe, and fails it otherwise. A rejection carries retryAfter, up to the longest
-// one that clients honor.
+// one that clients honor, if they honor any.
 func (g *Gateway) rejectOrFail(r *request, retryAfter time.Duration) {
 	switch {
 	case !r.clientMayRetry():
@@ -27,8 +27,8 @@
 	}
 }
 
-// finish marks a request as done and cancels its attempts in flight, unless a response is
-// already streaming to the client.
+// finish marks a request as done. It also cancels the attempts in flight, unless a response
+// has begun to stream to the client.
 func (g *Gateway) finish(r *request) {
 	if !r.done && !r.responseStarted {
 		g.cancelAttemptsExcept(r, keepNone)
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -72,7 +72,7 @@
 }
 
 // finishOrRetry finishes a request after an attempt's outcome, waits for an attempt that is
-// still in flight, or retries.
+// still in flight, or retries. If no retry may start, it gives the client a final answer.
 func (g *Gateway) finishOrRetry(r *request, ev *AttemptEnded) {
 	switch {
 	case ev.RequestDone || ev.Outcome == Succeeded:
--- a/internal/policy/balancer.go
+++ b/internal/policy/balancer.go
@@ -7,10 +7,10 @@
 
 const (
 	subsetSize       = 16   // endpoints that a gateway chooses from; few, so that it uses each of them often
-	errorPenalty     = 8.0  // weight of the error rate in the score; an error costs more than a wait, as it may be final
+	errorPenalty     = 8.0  // weight of an excess error rate in the score; an error costs more than a wait, as it may be final
 	panicThreshold   = 0.5  // below this share of healthy endpoints, ejections are ignored
-	latencyJitter    = 0.15 // random relative increase of expected latencies, so that gateways choose different endpoints
-	maxWarmUpShare   = 0.6  // limit for endpoints that are warming up: this share of OverloadMultiple times the mean load
+	latencyJitter    = 0.15 // largest random relative increase of an expected latency, so that gateways do not all choose the same endpoint
+	maxWarmUpShare   = 0.6  // an endpoint that is warming up gets at most this share of OverloadMultiple times the mean load
 	crossZonePenalty = 2.0  // weight of CrossZoneCost in the score
 )
 
@@ -51,8 +51,10 @@
 	candidates         float64   // number of candidates
 }
 
-// pick returns the endpoint for the next attempt of r, the one expected to answer first, and
-// its expected latency in seconds. It returns nil if no endpoint can take the attempt.
+// pick returns the endpoint for the next attempt of r and its expected latency in seconds. It
+// is the candidate with the best score, or one that is warming up or due for a recovery trial;
+// the expected latency of a recovery trial is given as 0. It returns nil if no endpoint can
+// take the attempt.
 func (b *balancer) pick(now Time, r *request) (*endpoint, float64) {
 	listed, healthy := b.ejectOutliers(now)
 	s := candidateSelection{
@@ -150,9 +152,10 @@
 //
 // Endpoints that are warming up get load in proportion to their slow-start factors, whatever
 // their latencies, so that neither they nor the warm endpoints get more than their share.
-// Two limits keep the load from all gateways together well below an overload: an endpoint
-// that is warming up gets at most maxWarmUpShare of OverloadMultiple times the mean load,
-// even if too few endpoints are left, and almost no load while no attempts are answered.
+// Two limits keep the load from all gateways together well below an overload. An endpoint
+// that is warming up gets at most its slow-start factor times the mean load times
+// maxWarmUpShare of OverloadMultiple (or times 1 if that is more), even if too few endpoints
+// are left for the load. And it gets almost no load while no attempts are answered.
 func (b *balancer) preferWarmingUp(s *candidateSelection, listed int) bool {
 	if s.warmingUp == nil || s.bestScore <= 0 {
 		return false
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -8,16 +8,20 @@
 // at a time. Times must never go backwards, and all random numbers come from
 // [Settings.Seed]: the same settings and events always give the same actions.
 //
+// One run of a gateway's process is called an incarnation of the gateway. A [Gateway] lives
+// for one incarnation and keeps no state for the next.
+//
 // The files by topic:
 //
 //   - The interface: event.go, action.go, settings.go, validate.go.
 //   - The gateway itself: gateway.go composes the rest and dispatches events; timers.go
-//     keeps its timers and stall.go detects that its process was suspended.
+//     keeps its timers and stall.go detects that its process was suspended or got no CPU
+//     time.
 //   - Admission within a tenant's fleet-wide quota: admission.go, tenant.go, quota.go,
 //     sparequota.go, sharedbucket.go, bucketreading.go, overquota.go, hardlimit.go,
 //     countercalls.go, incarnation.go.
 //   - Load balancing over endpoints: endpoint.go, balancer.go, latency.go, outlier.go,
 //     slowstart.go, throttle.go.
-//   - The life of a request from its first attempt to its final answer: request.go, attempt.go,
-//     retry.go, hedge.go, answer.go.
+//   - The life of a request from its first attempt to its final answer: request.go,
+//     attempt.go, retry.go, hedge.go, answer.go.
 package policy
--- a/internal/policy/event.go
+++ b/internal/policy/event.go
@@ -13,12 +13,12 @@
 const (
 	Succeeded      Outcome = iota // answered with success
 	ServerError                   // answered with an error
-	Overloaded                    // rejected by the endpoint, so it never ran
+	Overloaded                    // rejected without being run
 	TimedOut                      // no answer in time
-	ConnectFailed                 // no connection, so it never ran
-	ConnectionLost                // the connection broke before the answer was complete
+	ConnectFailed                 // no connection, or not sent completely, so it never ran
+	ConnectionLost                // the connection gave no complete and valid answer; the request may have run
 	Canceled                      // canceled by this gateway
-	NotSent                       // never sent, because the request was done or had no attempts left
+	NotSent                       // not sent by the caller: no time or attempts left, or the request is done or the endpoint removed
 )
 
 // NeverRan reports whether the outcome of an attempt proves that the endpoint did not run
@@ -37,8 +37,8 @@
 
 // The states of an endpoint.
 const (
-	Serving  EndpointState = iota // accepts new requests
-	Draining                      // finishes its requests and accepts no new ones
+	Serving  EndpointState = iota // accepts requests
+	Draining                      // finishes the requests that it has and accepts no more
 	Removed                       // no longer exists
 )
 
@@ -49,7 +49,7 @@
 const (
 	IncrementalUpdate UpdateScope = iota // only the entries that changed
 	FullUpdate                           // the complete list
-	CachedUpdate                         // the complete list as last known to the gateway; may be stale
+	CachedUpdate                         // the complete list that the gateway starts with, known from before its start; may be stale
 	FailedUpdate                         // no list: the call to discovery failed
 )
 
--- a/internal/policy/gateway.go
+++ b/internal/policy/gateway.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// seedStream is the constant second half of the random generator's seed: only the first
-// half, [Settings.Seed], differs between incarnations.
+// seedStream is the constant second half of the random generator's seed. Only the first half,
+// [Settings.Seed], differs between incarnations (runs of a gateway's process).
 const seedStream = 0x62656c6c
 
 // Gateway is the state machine of one gateway: it turns events into actions, as described
@@ -113,8 +113,8 @@
 	return x ^ x>>31
 }
 
-// seconds converts a number of seconds to a Duration, limited to 1e6 so that it cannot
-// overflow.
+// seconds converts a number of seconds to a Duration. It limits the number to 1e6, so that
+// the Duration cannot overflow.
 func seconds(s float64) time.Duration {
 	return time.Duration(min(s, 1e6) * float64(time.Second))
 }
--- a/internal/policy/hedge.go
+++ b/internal/policy/hedge.go
@@ -33,7 +33,8 @@
 	g.startTimer(seconds(after), func() { g.hedge(r) })
 }
 
-// hedge starts a second attempt if the first one has neither ended nor begun to respond.
+// hedge starts a hedged attempt if the request has exactly one attempt in flight, the first or
+// a retry, and no response has begun to stream to the client.
 func (g *Gateway) hedge(r *request) {
 	if !r.done && !r.responseStarted && r.inFlight() == 1 && g.hedgeLimiter.allows() {
 		g.retry(r)
--- a/internal/policy/latency.go
+++ b/internal/policy/latency.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	minServiceTimeGain   = 0.02             // smallest weight of one answer in the means of service time and latency
+	minServiceTimeGain   = 0.02             // smallest weight of one answer in a class's mean service time, and its weight in the mean latency
 	slownessGain         = 0.05             // weight of one answer in an endpoint's slowness; low because requests differ widely
 	maxSlownessSample    = 4.0              // upper limit of one sample of slowness, against the effect of one long request
 	slownessDecayTime    = 10 * time.Second // time constant with which slowness decays to 1 without answers
 	assumedOtherAttempts = 1.0              // attempts of other gateways assumed at every endpoint
-	smallFleetSize       = 3                // up to this many gateways, an endpoint without local attempts is assumed to be idle
+	smallFleetSize       = 3                // up to this many gateways, the attempts of this gateway at an endpoint show whether it has a queue
 
 	// The initial service time of a class is its latency objective divided by this.
 	initialServiceTimeDivisor = 12
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -3,14 +3,21 @@
 import "time"
 
 const (
-	errorRateGain         = 0.15                   // weight of one outcome in an endpoint's error rate
-	overallErrorRateGain  = errorRateGain / 10     // weight of one outcome in the overall error rate
-	maxErrorRate          = 0.35                   // an endpoint with a higher error rate is ejected, unless the others fail too
-	maxErrorRateRatio     = 2                      // an endpoint is ejected for errors only above this multiple of the overall error rate
-	unresponsiveThreshold = 12.0                   // an endpoint is ejected after more mean latencies without an answer, times unanswered attempts
-	maxCountedUnanswered  = 3                      // more unanswered attempts than this do not raise that product
-	minEjectionTime       = 500 * time.Millisecond // length of the first ejection, until a recovery trial
-	maxEjectionTime       = 4 * time.Second        // longest ejection, until a recovery trial
+	errorRateGain        = 0.15               // weight of one outcome in an endpoint's error rate
+	overallErrorRateGain = errorRateGain / 10 // weight of one outcome in the overall error rate
+	maxErrorRate         = 0.35               // an endpoint with a higher error rate is ejected, unless the others fail too
+	maxErrorRateRatio    = 2                  // an endpoint is ejected for errors only above this multiple of the overall error rate
+
+	// An endpoint is ejected as unresponsive if the time since the first of its unanswered attempts,
+	// multiplied by their number, exceeds this many mean latencies. One unanswered attempt leads to an
+	// ejection after 12 mean latencies, three or more after 4.
+	unresponsiveThreshold = 12.0
+
+	// In that product at most this many unanswered attempts count: more of them are no stronger evidence.
+	maxCountedUnanswered = 3
+
+	minEjectionTime = 500 * time.Millisecond // wait for a recovery trial after the first ejection
+	maxEjectionTime = 4 * time.Second        // longest wait for a recovery trial
 )
 
 // outlierState is the outlier detector's state for one endpoint.
@@ -19,7 +26,7 @@
 	unanswered        int     // attempts started since it last responded
 	unansweredSince   Time    // when the first of these started
 	ejected           bool
-	ejectionTime      time.Duration // length of the last ejection
+	ejectionTime      time.Duration // wait for a recovery trial after the last ejection
 	nextTrialAt       Time          // earliest time of a recovery trial
 	trialPending      bool          // a recovery trial or its health check is in flight
 	healthCheckPassed bool          // the health check before the recovery trial succeeded
@@ -36,7 +43,8 @@
 // answered records that the endpoint has responded: no attempts count as unanswered.
 func (s *outlierState) answered() { s.unanswered = 0 }
 
-// eject ejects the endpoint, for a time that doubles with each failed recovery trial.
+// eject ejects the endpoint. The wait until a recovery trial is allowed doubles with each
+// failed trial or health check, up to maxEjectionTime.
 func (s *outlierState) eject(now Time) {
 	s.ejectionTime = min(max(2*s.ejectionTime, minEjectionTime), maxEjectionTime)
 	s.ejected = true
@@ -65,7 +73,7 @@
 	settings         *Settings
 	emit             func(Action) // appends an action to those of the current step
 	overallErrorRate float64      // share of recent outcomes that were errors, over all endpoints
-	trialIdempotency Idempotency  // the least restrictive kind in use; only such requests are used for trials
+	trialIdempotency Idempotency  // the least restrictive kind of all classes; only requests of this kind are used for trials
 }
 
 func newOutlierDetector(settings *Settings, emit func(Action)) outlierDetector {
@@ -76,9 +84,10 @@
 	return d
 }
 
-// detect ejects an endpoint that is unresponsive or fails more often than the others. One
-// rare long request should not eject an endpoint that has no other, so the time without an
-// answer is multiplied by the number of unanswered attempts; meanLatency is in seconds.
+// detect ejects an endpoint that is unresponsive or fails more often than the others. A
+// single unanswered attempt may just be a rare long request, so the fewer attempts are
+// unanswered, the longer they must wait before the endpoint is ejected. meanLatency is in
+// seconds.
 func (d *outlierDetector) detect(now Time, ep *endpoint, meanLatency float64) {
 	if ep.ejected || ep.unanswered == 0 && ep.errorRate <= maxErrorRate {
 		return // fast path: this runs for every endpoint before each attempt
@@ -141,7 +150,8 @@
 }
 
 // provesResponsive reports whether an outcome shows that the endpoint still responds. A lost
-// connection counts as well, because attempts at an unresponsive endpoint never end.
+// connection counts as well, because attempts at an unresponsive endpoint end only when this
+// gateway times them out or cancels them.
 func provesResponsive(outcome Outcome) bool {
 	switch outcome {
 	case Succeeded, ServerError, Overloaded, ConnectionLost:
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	attemptTimeoutShare = 0.97 // an attempt times out after this share of the latency objective
+	attemptTimeoutShare = 0.97 // an attempt times out when this share of its request's latency objective has passed
 	minLateWeight       = 0.3  // with at least this LateWeight, attempts may run past the latency objective
 )
 
@@ -14,11 +14,11 @@
 	inFlight       bool // no outcome yet
 	neverRan       bool // its outcome proves that the endpoint did not run it
 	inFlightBefore int  // this gateway's attempts in flight at the endpoint when it started
-	isTrial        bool // the endpoint was ejected when it started
+	isTrial        bool // the endpoint was ejected when it started, so its outcome counts as that of a recovery trial
 }
 
-// request is the state of a client's request, kept until it is answered and has no attempt
-// in flight.
+// request is the state of a client's request, kept until it is done and has no attempt in
+// flight.
 type request struct {
 	id                    string
 	classIndex            int
@@ -29,7 +29,7 @@
 	latencyDeadline       Time // end of the latency objective, less a margin; at most deadline
 	deadline              Time // when the client gives up
 	attempts              []attempt
-	done                  bool // it has its final answer
+	done                  bool // it has its final answer, or its client has disconnected
 	responseStarted       bool // a response has begun to stream to the client
 	isRetry               bool // marked by the client as a retry
 }
@@ -40,7 +40,7 @@
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if a.endpoint == ep {
-			return false // at most one attempt for each endpoint
+			return false // at most one attempt at each endpoint
 		}
 		if a.neverRan || r.class.Idempotency == Idempotent {
 			continue
@@ -79,8 +79,8 @@
 }
 
 // attemptTimeout returns the timeout of an attempt that starts now, or 0 if it may run until
-// the client gives up. An attempt runs past the latency objective only if a late answer
-// earns enough weight, if the response is streamed, or if it starts after the objective.
+// the client gives up. An attempt may run past the latency deadline only if a late answer
+// earns enough weight, if the response is streamed, or if it starts after that deadline.
 func (r *request) attemptTimeout(now Time) time.Duration {
 	if r.class.LateWeight >= minLateWeight || r.class.Streaming || r.latencyDeadline <= now {
 		return 0
@@ -89,7 +89,8 @@
 }
 
 // clientMayRetry reports whether a retry by the client, which may reach any endpoint, is
-// safe after the attempts so far.
+// safe after the attempts so far. A retry of a request with DedupFleet is assumed to come
+// within the class's DedupWindow.
 func (r *request) clientMayRetry() bool {
 	if r.class.Idempotency == Idempotent {
 		return true
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -52,14 +52,14 @@
 // Settings describes the deployment to a gateway when it starts. All fields are facts about
 // the deployment; none is a tuning parameter.
 type Settings struct {
-	Seed                uint64 // for all random numbers of this incarnation
+	Seed                uint64 // for all random numbers of this incarnation (one run of the gateway's process)
 	GatewayIndex        int    // number of this gateway, from 0
 	Gateways            int    // number of gateways in the fleet
 	Zone                int    // zone of this gateway
 	Classes             []Class
 	Plans               []Plan
 	MustSubscribe       bool          // discovery sends no changes without a subscription
-	SubscriptionTimeout time.Duration // without a subscription for this long, the gateway counts as notified of changes
+	SubscriptionTimeout time.Duration // after this long without a subscription, the gateway counts as notified of changes, so a failed subscription is retried sooner
 	CounterEnabled      bool          // the counter service may be called
 	CounterTimeout      time.Duration // a counter call without a reply ends after this
 	MeterPeriod         time.Duration // period of the delayed usage meter; 0: none
--- a/internal/policy/slowstart_sim_test.go
+++ b/internal/policy/slowstart_sim_test.go
@@ -274,7 +274,7 @@
 	waiting       int
 	utilization   float64 // moving average of the share of time that it is busy
 	utilizationAt time.Duration
-	received      []time.Duration // arrival times of requests, for peakLoadRatio
+	received      []time.Duration // arrival times of requests since the last start, for peakLoadRatio
 }
 
 // slowStartFactor returns the share of its full capacity that the endpoint has at a time.
@@ -286,7 +286,8 @@
 	return settings.SlowStartCapacity + (1-settings.SlowStartCapacity)*max((at-e.StartedAt).Seconds(), 0)/settings.SlowStartDuration.Seconds()
 }
 
-// receive queues an attempt that times out at until. It calls end with the attempt's outcome.
+// receive queues an attempt that times out at until. It calls end with the attempt's outcome,
+// unless the attempt times out before its turn or the endpoint has crashed.
 func (e *simEndpoint) receive(until time.Duration, end func(policy.Outcome)) {
 	f := e.fleet
 	if e.crashed {
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -27,7 +27,8 @@
 		}
 	}
 	// The share of the requests that s0 may get is its slow-start factor, which grows from 0.2 to 0.36 in
-	// these 2 s, times 1.8, which is maxWarmUpShare of OverloadMultiple.
+	// these 2 s, times 1.8, which is maxWarmUpShare of OverloadMultiple. Of the 50 requests a second, that
+	// is about 50 in 2 s.
 	if attempts > 56 || attempts == 0 {
 		t.Errorf("endpoint that is warming up got %d attempts for 100 requests, want 1 to 56", attempts)
 	}
@@ -70,7 +71,8 @@
 	f.sendUpdate(policy.IncrementalUpdate, added...)
 }
 
-// crash stops the endpoints whose numbers are chosen; discovery reports it two seconds later.
+// crash stops the endpoints whose numbers are chosen. Discovery reports them as removed two seconds later, even if
+// they have restarted by then.
 func (f *simFleet) crash(chosen func(int) bool) (crashed []*simEndpoint) {
 	var removed []policy.Endpoint
 	for i, endpoint := range f.endpoints {
--- a/internal/policy/stall.go
+++ b/internal/policy/stall.go
@@ -5,7 +5,7 @@
 const (
 	tickPeriod          = 100 * time.Millisecond // between the ticks that detect stalls
 	stallThreshold      = 250 * time.Millisecond // a tick that is later than this means a stall
-	stallRecoveryPeriod = 30 * time.Second       // after a stall, requests do not wait for the counter for this long
+	stallRecoveryPeriod = 30 * time.Second       // for this long after a stall, requests are not held for a counter call
 )
 
 // stallDetector detects by late ticks that this gateway did not run for a while: its
--- a/internal/policy/throttle.go
+++ b/internal/policy/throttle.go
@@ -12,7 +12,7 @@
 	ignoredFailures      = 1.5             // this many attempts without an answer in time cause no shedding
 
 	// Attempts that all gateways together start at each endpoint before any answer is known.
-	// With maxWarmUpShare, this makes two at an endpoint that is warming up.
+	// With maxWarmUpShare, this makes about two at an endpoint that is warming up.
 	initialAttemptsPerEndpoint = 5.0
 
 	maxLatencyShare     = 0.4  // requests are shed if the expected latency exceeds this share of the remaining objective
@@ -43,8 +43,8 @@
 // gateway still get some requests.
 //
 // The expected latency counts a full service time for each attempt in the queue, though
-// endpoints work on several at once. The limits allow for that; higher ones let queues grow
-// at endpoints that are really overloaded.
+// endpoints work on several at once. maxLatencyShare and maxIdleLatencyShare allow for that;
+// higher shares let queues grow at endpoints that are really overloaded.
 func (t *throttle) shouldShed(now Time, r *request, ep *endpoint, expectedLatency float64) bool {
 	if t.rng.Float64()*t.expected < t.expected-maxStartedPerSuccess*t.succeeded-ignoredFailures {
 		t.record(now, 1, 0)
@@ -63,7 +63,9 @@
 	t.started++
 }
 
-// attemptEnded counts the outcome of an attempt if it tells about the endpoints' capacity.
+// attemptEnded updates the counts with an attempt's outcome, as far as that tells about the
+// endpoints' capacity. A failed connection counts as an attempt that was not answered in
+// time, but not as a started one.
 func (t *throttle) attemptEnded(now Time, outcome Outcome) {
 	switch outcome {
 	case Succeeded:
@@ -73,7 +75,7 @@
 	}
 	switch outcome {
 	case Succeeded, TimedOut, Overloaded:
-	default: // other failures and cancellations tell nothing about the endpoints' capacity
+	default: // the other outcomes tell nothing about the endpoints' capacity, so the attempt does not count as started
 		t.started = max(t.started-1, 0)
 	}
 }
--- a/internal/policy/throttle_test.go
+++ b/internal/policy/throttle_test.go
@@ -28,7 +28,7 @@
 
 func TestLossesAtAllEndpointsAreNotShedAsOverload(t *testing.T) {
 	// Incident ic48e92: a quarter of the attempts were lost at every endpoint, and the others had their usual
-	// latencies. Such losses must not shed requests as an overload does.
+	// latencies. Such losses must not cause requests to be shed, as an overload does.
 	h := newHarness(t, testSettings(), 2)
 	var pending []pendingOutcome
 	rejected := 0
--- a/internal/policy/validate.go
+++ b/internal/policy/validate.go
@@ -40,7 +40,8 @@
 	return nil
 }
 
-// validateFleet checks the size of the fleet and of the lists, and the number of attempts.
+// validateFleet checks the size of the fleet, the gateway's index and the number of attempts,
+// and that there are classes and plans.
 func validateFleet(settings *Settings) error {
 	invalid := func(field, format string, values ...any) error {
 		return &SettingsError{Field: field, Reason: fmt.Sprintf(format, values...)}
