--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,7 +1,7 @@
-// Package upstream manages the edge node's connections to the servers that it forwards
-// requests to: the endpoints listed by discovery with a pool of keep-alive connections,
-// the exchange of one HTTP request and response on a connection, and the parser of load
-// reports.
+// Package upstream manages the edge node's connections to the endpoints, the booking
+// servers that discovery lists and that requests are forwarded to. It has the pool of
+// keep-alive connections to the endpoints, the exchange of one HTTP request and response
+// on a connection, and the parser of load reports.
 //
 // # Locking
 //
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -8,7 +8,7 @@
 	"swiftpitch/internal/policy"
 )
 
-// Endpoint is a server that discovery lists, with the idle connections to it. The lock
+// Endpoint is the state of one endpoint, including the idle connections to it. The lock
 // that guards its [Pool] guards it as well.
 type Endpoint struct {
 	id            string
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -63,7 +63,7 @@
 }
 
 // write writes a request. Apart from the error it reports whether all of the request was
-// written, because a server does not run a request whose last byte it never received.
+// written, because an endpoint does not run a request whose last byte it never received.
 func (c *Conn) write(request net.Buffers) (complete bool, err error) {
 	length := int64(0)
 	for _, part := range request {
@@ -125,7 +125,7 @@
 	return response
 }
 
-// provesNeverRan reports whether a response proves that the server rejected the request
+// provesNeverRan reports whether a response proves that the endpoint rejected the request
 // without running it.
 func provesNeverRan(head *http.Response) bool {
 	switch head.StatusCode {
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -82,7 +82,7 @@
 
 // TestNoReuseBeforeReuseDelay guards against taking a duplicate response to one request
 // for the response to the next: a connection is not reused after only some milliseconds.
-// The server sends a duplicate response to the first request just when the next request
+// The fake server sends a duplicate response to the first request just when the next request
 // arrives on that connection, where the duplicate would be read first.
 func TestNoReuseBeforeReuseDelay(t *testing.T) {
 	addr := testsupport.StartFakeServer(t, func(conn net.Conn, req *http.Request, body []byte) bool {
--- a/internal/upstream/idleage.go
+++ b/internal/upstream/idleage.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The idle age of a connection is how long it was idle before a request. Some servers
+// The idle age of a connection is how long it was idle before a request. Some endpoints
 // drop idle connections long before the announced idle timeout and without closing them;
 // a sign of this is a reused connection that breaks right after the request was written.
 const (
--- a/internal/upstream/idleage_test.go
+++ b/internal/upstream/idleage_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestStaleIdleAge guards against servers that drop idle connections without closing
+// TestStaleIdleAge guards against endpoints that drop idle connections without closing
 // them: an idle age at which many connections break early counts as stale for a while,
 // shorter idle ages do not.
 func TestStaleIdleAge(t *testing.T) {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -8,10 +8,10 @@
 	"swiftpitch/internal/policy"
 )
 
-// ReuseDelay is how long a connection stays idle before it carries the next request, so
-// that data that a server sends after its response arrives and is detected first. Duplicate
-// responses arrive some milliseconds late, and the network adds some more; one that arrived
-// after the delay would be taken for the response to the next request.
+// ReuseDelay is how long a connection stays idle before it carries the next request. Data
+// that the endpoint sends after its response is detected if it arrives within this delay.
+// Duplicate responses arrive some milliseconds late, and the network adds some more; one
+// that arrived after the delay would be taken for the response to the next request.
 const ReuseDelay = 25 * time.Millisecond
 
 // Defaults, used if the caller or the settings give no value.
@@ -22,9 +22,9 @@
 )
 
 const (
-	// idleTimeoutDivisor divides the servers' idle timeout to give the pool's. The pool
-	// closes an idle connection well before its server does, because a request could be
-	// written just as the server closes the connection.
+	// idleTimeoutDivisor divides the endpoints' idle timeout to give the pool's. The pool
+	// closes an idle connection well before the endpoint does, because a request could be
+	// written just as the endpoint closes the connection.
 	idleTimeoutDivisor = 2
 	// sweepsPerIdleTimeout is the number of sweeps per idle timeout of the pool. An expired
 	// connection stays open until the next sweep.
