--- a/internal/policy/bucketreading.go
+++ b/internal/policy/bucketreading.go
@@ -24,7 +24,8 @@
 	readAt     Time    // time of the reply; 0: no reply yet
 }
 
-func (b *bucketReading) known() bool { return b.readAt > 0 }
+// hasReading reports whether the bucket's total has been read from the counter yet.
+func (b *bucketReading) hasReading() bool { return b.readAt > 0 }
 
 // tokensAt returns the tokens that the bucket holds at a later time if no gateway has taken
 // any since the reading.
@@ -82,7 +83,7 @@
 // lostUnits returns by how many units the counter's total for an epoch has fallen since the
 // last reading, or 0 if the difference is too small to be a loss.
 func (t *tenantState) lostUnits(epoch int64, total float64) float64 {
-	if !t.sharedBucket.known() || t.sharedBucket.epoch != epoch {
+	if !t.sharedBucket.hasReading() || t.sharedBucket.epoch != epoch {
 		return 0
 	}
 	lost := t.sharedBucket.total - total
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -18,12 +18,12 @@
 )
 
 // newFleet starts n gateways with the same list of endpoints, each with an index and a seed of its own.
-func newFleet(t *testing.T, n int, set policy.Settings, endpoints []policy.Endpoint) []*harness {
+func newFleet(t *testing.T, n int, settings policy.Settings, endpoints []policy.Endpoint) []*harness {
 	t.Helper()
 	var gateways []*harness
 	for i := range n {
-		set.Seed, set.GatewayIndex, set.Gateways = uint64(i+1), i, n
-		h := newHarnessAt(t, time.Minute, set, 0)
+		settings.Seed, settings.GatewayIndex, settings.Gateways = uint64(i+1), i, n
+		h := newHarnessAt(t, time.Minute, settings, 0)
 		h.step(policy.EndpointsUpdated{Scope: policy.FullUpdate, Endpoints: endpoints})
 		gateways = append(gateways, h)
 	}
@@ -45,11 +45,11 @@
 func TestFleetBalancesByCapacityDuringWarmUp(t *testing.T) {
 	for _, warmingUp := range []int{3, 22, 36} {
 		t.Run(fmt.Sprint(warmingUp, " warming up"), func(t *testing.T) {
-			set := testSettings()
-			set.SlowStartCapacity, set.SlowStartDuration = 0.4, time.Hour // the capacity stays at 0.4 for the whole test
+			settings := testSettings()
+			settings.SlowStartCapacity, settings.SlowStartDuration = 0.4, time.Hour // the capacity stays at 0.4 for the whole test
 			attempts := map[string]float64{}
 			total := 0.0
-			for _, h := range newFleet(t, fleetGateways, set, newEndpointList(time.Minute, warmingUp)) {
+			for _, h := range newFleet(t, fleetGateways, settings, newEndpointList(time.Minute, warmingUp)) {
 				for range 300 {
 					h.advance(10*ms, replyWithTotal(0))
 					id, actions := h.receive(0, 1, 1, 1)
@@ -60,19 +60,19 @@
 					}
 				}
 			}
-			capacity := float64(fleetEndpoints-warmingUp) + float64(warmingUp)*set.SlowStartCapacity
+			capacity := float64(fleetEndpoints-warmingUp) + float64(warmingUp)*settings.SlowStartCapacity
 			toWarmingUp, maxShare := 0.0, 0.0
 			for i := range warmingUp {
 				count := attempts[fmt.Sprint("s", i)]
 				toWarmingUp += count
-				maxShare = max(maxShare, count/(total/fleetEndpoints*set.SlowStartCapacity))
+				maxShare = max(maxShare, count/(total/fleetEndpoints*settings.SlowStartCapacity))
 			}
-			want := float64(warmingUp) * set.SlowStartCapacity / capacity
+			want := float64(warmingUp) * settings.SlowStartCapacity / capacity
 			if toWarmingUp/total < 0.75*want || toWarmingUp/total > 1.25*want {
 				t.Errorf("endpoints warming up got %.3f of all attempts, want within 25%% of their %.3f of the capacity", toWarmingUp/total, want)
 			}
-			if maxShare > set.OverloadMultiple {
-				t.Errorf("an endpoint warming up got %.2f times its share of the mean load, want at most %v, the multiple that overloads it", maxShare, set.OverloadMultiple)
+			if maxShare > settings.OverloadMultiple {
+				t.Errorf("an endpoint warming up got %.2f times its share of the mean load, want at most %v, the multiple that overloads it", maxShare, settings.OverloadMultiple)
 			}
 		})
 	}
@@ -176,11 +176,11 @@
 func TestFleetUsesAndHoldsQuotaOfTenantsOnManyGateways(t *testing.T) {
 	// Plan 0 has 4 units per second and a burst of 8. A tenant within that rate sends each of the 60 gateways a request
 	// about every 20 s. Half of the tenants send 11 units in one second of four, the others four times their quota.
-	set := testSettings()
-	set.Plans[0].OverQuotaCost = 1
+	settings := testSettings()
+	settings.Plans[0].OverQuotaCost = 1
 	const seconds = 60
 	traffic := &tenantTraffic{
-		gateways: newFleet(t, 60, set, newEndpointList(0, 0)),
+		gateways: newFleet(t, 60, settings, newEndpointList(0, 0)),
 		counter:  &queueingCounter{fakeCounter: fakeCounter{}, serviceTime: 200 * time.Microsecond},
 		rng:      rand.New(rand.NewPCG(5, 6)),
 		tenants:  20,
@@ -214,10 +214,10 @@
 func TestFleetKeepsCounterQueueShort(t *testing.T) {
 	// The counter can serve a third of the calls that the fleet would make. A reply that comes after requests are no
 	// longer held is useless, so the gateways together must make fewer calls than the counter serves.
-	set := testSettings()
-	set.Plans[0].OverQuotaCost = 1
+	settings := testSettings()
+	settings.Plans[0].OverQuotaCost = 1
 	counter := &queueingCounter{fakeCounter: fakeCounter{}, serviceTime: 10 * ms}
-	gateways := newFleet(t, 60, set, newEndpointList(0, 0))
+	gateways := newFleet(t, 60, settings, newEndpointList(0, 0))
 	traffic := &tenantTraffic{
 		gateways: gateways,
 		counter:  counter,
@@ -231,8 +231,8 @@
 	if calls := counter.calls - before; calls > 1100 || calls < 300 {
 		t.Errorf("%d calls in 10 s to a counter that serves 1000 in that time, want 300 to 1100", calls)
 	}
-	if wait := counter.idleAt - gateways[0].now; wait > 5*set.CounterTimeout {
-		t.Errorf("wait in the counter's queue is %v, want at most %v", wait, 5*set.CounterTimeout)
+	if wait := counter.idleAt - gateways[0].now; wait > 5*settings.CounterTimeout {
+		t.Errorf("wait in the counter's queue is %v, want at most %v", wait, 5*settings.CounterTimeout)
 	}
 }
 
@@ -303,9 +303,9 @@
 	const seconds, gateways, tenants = 40, 30, 30
 	for _, serviceTime := range []time.Duration{4 * ms, 20 * ms} { // a counter with capacity to spare, and a slow one
 		t.Run(fmt.Sprint("counter service time ", serviceTime), func(t *testing.T) {
-			set := testSettings()
-			set.Plans[0].OverQuotaCost = 1
-			harnesses := newFleet(t, gateways, set, newEndpointList(0, 0))
+			settings := testSettings()
+			settings.Plans[0].OverQuotaCost = 1
+			harnesses := newFleet(t, gateways, settings, newEndpointList(0, 0))
 			quotas := newQuotaOracle(tenants, harnesses[0].now)
 			traffic := &tenantTraffic{
 				gateways: harnesses,
--- a/internal/policy/overquota.go
+++ b/internal/policy/overquota.go
@@ -7,30 +7,30 @@
 	minRelativeRisk         = 0.2         // least value at risk, relative to the mean, that is used for the probability of a call
 )
 
-// evidence is the kind of knowledge that this gateway has of a tenant's quota when a
+// quotaEvidence is the kind of knowledge that this gateway has of a tenant's quota when a
 // request comes. The probability that a request is over quota is estimated for each kind,
 // and for retries apart, since most of them follow a rejection.
-type evidence int
+type quotaEvidence int
 
 const (
-	noEvidence           evidence = iota // the tenant's first request at this gateway
-	localTokensExhausted                 // this gateway's share of the quota is used up
-	localTokensLeft                      // this gateway's share of the quota suffices
-	bucketSufficient                     // at its last reading, the shared bucket held the units of the request that made the call
-	bucketInsufficient                   // at its last reading, the shared bucket held fewer units than that request needed
-	evidenceKinds                        // number of kinds
+	noQuotaEvidence      quotaEvidence = iota // the tenant's first request handled by admitBySharedBucket; the local tokens suffice for it
+	localTokensExhausted                      // no reading of the shared bucket yet; the local tokens do not suffice for the request
+	localTokensLeft                           // no reading of the shared bucket yet; the local tokens suffice for the request
+	bucketSufficient                          // at its last reading, the shared bucket held the units of the request that made the call
+	bucketInsufficient                        // at its last reading, the shared bucket held fewer units than that request needed
+	quotaEvidenceKinds                        // number of kinds
 )
 
 // forRetry returns the evidence of the same kind for a retry.
-func (e evidence) forRetry() evidence { return e + evidenceKinds }
+func (e quotaEvidence) forRetry() quotaEvidence { return e + quotaEvidenceKinds }
 
 // overQuotaEstimates holds the estimated share of requests over quota for each kind of
 // evidence, over all tenants of a plan.
-type overQuotaEstimates [2 * evidenceKinds]float64
+type overQuotaEstimates [2 * quotaEvidenceKinds]float64
 
 func newOverQuotaEstimates() overQuotaEstimates {
 	var estimates overQuotaEstimates
-	for kind := range evidenceKinds {
+	for kind := range quotaEvidenceKinds {
 		estimates[kind] = initialOverQuotaShare
 		estimates[kind.forRetry()] = 1 - initialOverQuotaShare
 	}
@@ -38,7 +38,7 @@
 }
 
 // observe updates an estimate with the counter's result for one request.
-func (s *overQuotaEstimates) observe(e evidence, overQuota bool) {
+func (s *overQuotaEstimates) observe(e quotaEvidence, overQuota bool) {
 	s[e] *= 1 - estimateSmoothingFactor
 	if overQuota {
 		s[e] += estimateSmoothingFactor
--- a/internal/policy/quota_test.go
+++ b/internal/policy/quota_test.go
@@ -167,9 +167,9 @@
 func TestAllocationIsChargedActualUnits(t *testing.T) {
 	// A third of the burst of 8 is 2.67 units; a request that was charged 1 unit and used 3 leaves none of it.
 	for actualUnits, want := range map[float64]int{1: 1, 3: 0} {
-		set := testSettings()
-		set.ActualUnitsReported = true
-		h := newHarness(t, set, 6)
+		settings := testSettings()
+		settings.ActualUnitsReported = true
+		h := newHarness(t, settings, 6)
 		id, actions := h.receive(0, 0, 1, 1)
 		h.step(policy.AttemptEnded{RequestID: id, Endpoint: startedAttempts(actions)[0].Endpoint, Outcome: policy.Succeeded, Latency: 20 * ms, RequestDone: true,
 			ActualUnits: actualUnits})
@@ -194,9 +194,9 @@
 }
 
 func TestQuotaIsSplitEvenlyWithoutCounter(t *testing.T) {
-	set := testSettings()
-	set.CounterEnabled = false
-	h := newHarness(t, set, 6)
+	settings := testSettings()
+	settings.CounterEnabled = false
+	h := newHarness(t, settings, 6)
 	units := 0
 	for range 200 { // 20 s: a third of 4 units per second and of the burst of 8
 		h.advance(100*ms, nil)
@@ -220,9 +220,9 @@
 		{"counter does not respond", 0, policy.TimedOut, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			set := testSettings()
-			set.Plans[0] = policy.Plan{Rate: 10, Burst: 20, PriorityWeight: 1}
-			h, counter := newHarness(t, set, 6), fakeCounter{}
+			settings := testSettings()
+			settings.Plans[0] = policy.Plan{Rate: 10, Burst: 20, PriorityWeight: 1}
+			h, counter := newHarness(t, settings, 6), fakeCounter{}
 			for range 40 { // well under the quota, also by the totals
 				h.countAdmitted(1, 0, 9)
 				h.advance(500*ms, counter.add)
--- a/internal/policy/sharedbucket.go
+++ b/internal/policy/sharedbucket.go
@@ -31,7 +31,7 @@
 // requests over the quota and reject requests within it.
 func (g *Gateway) admitBySharedBucket(r *request, estimates *overQuotaEstimates) {
 	t := r.tenant
-	if t.sharedBucket.known() && t.sharedBucket.tokensAt(g.now, t.plan) < r.units-unitTolerance {
+	if t.sharedBucket.hasReading() && t.sharedBucket.tokensAt(g.now, t.plan) < r.units-unitTolerance {
 		g.decide(r, false) // since the reading, other gateways can only have taken tokens
 		return
 	}
@@ -60,12 +60,12 @@
 }
 
 // evidenceFor returns the kind of evidence on which a request's estimate is based.
-func (t *tenantState) evidenceFor(r *request) evidence {
-	kind := noEvidence
+func (t *tenantState) evidenceFor(r *request) quotaEvidence {
+	kind := noQuotaEvidence
 	switch {
-	case t.sharedBucket.known() && t.sharedBucket.sufficient:
+	case t.sharedBucket.hasReading() && t.sharedBucket.sufficient:
 		kind = bucketSufficient
-	case t.sharedBucket.known():
+	case t.sharedBucket.hasReading():
 		kind = bucketInsufficient
 	case t.tokens < r.units-unitTolerance:
 		kind = localTokensExhausted
@@ -98,7 +98,7 @@
 type sharedBucketCall struct {
 	gateway   *Gateway
 	held      heldRequest
-	evidence  evidence
+	evidence  quotaEvidence
 	estimates *overQuotaEstimates
 	risk      overQuotaRisk
 	epoch     int64
--- a/internal/policy/sharedbucket_test.go
+++ b/internal/policy/sharedbucket_test.go
@@ -23,9 +23,9 @@
 func TestSharedBucketDecidesForSmallShares(t *testing.T) {
 	// The total at the counter decides, not an allocation, if a gateway's share of the quota is less than a request.
 	decide := func(total float64, timeout time.Duration) (calls, admitted int) {
-		set := testSettings()
-		set.Plans[0].OverQuotaCost, set.CounterTimeout = 1, 400*ms
-		h := newHarness(t, set, 6)
+		settings := testSettings()
+		settings.Plans[0].OverQuotaCost, settings.CounterTimeout = 1, 400*ms
+		h := newHarness(t, settings, 6)
 		for i := range 40 {
 			_, actions := h.receiveEvent(sharedBucketRequest(uint64(i), timeout))
 			if hasAction[policy.AddToCounter](actions) {
@@ -95,13 +95,13 @@
 // their calls.
 func admittedByFleet(t *testing.T, gateways int, demandMultiple float64, rejectedShare float64) (units float64) {
 	t.Helper()
-	set := testSettings()
-	set.Gateways, set.Plans[0].OverQuotaCost = gateways, 1
+	settings := testSettings()
+	settings.Gateways, settings.Plans[0].OverQuotaCost = gateways, 1
 	rng := rand.New(rand.NewPCG(3, uint64(gateways)))
 	var harnesses []*harness
 	for i := range gateways {
-		set.GatewayIndex, set.Seed = i, uint64(i)
-		harnesses = append(harnesses, newHarness(t, set, 6))
+		settings.GatewayIndex, settings.Seed = i, uint64(i)
+		harnesses = append(harnesses, newHarness(t, settings, 6))
 	}
 	counter, now := fakeCounter{}, 1000*time.Second
 	reply := func(call policy.AddToCounter) policy.CounterReplied {
@@ -154,11 +154,11 @@
 
 func TestSharedBucketIsChargedActualUnits(t *testing.T) {
 	for actualUnits, want := range map[float64]float64{1: 1, 3: 3} {
-		set := testSettings()
-		set.ActualUnitsReported, set.Plans[0].OverQuotaCost = true, 1
+		settings := testSettings()
+		settings.ActualUnitsReported, settings.Plans[0].OverQuotaCost = true, 1
 		// largestTotal returns the largest total at the counter after one request, which is that of the tenant's bucket.
 		largestTotal := func(end func(h *harness, counter fakeCounter, attempts []policy.StartAttempt)) float64 {
-			h, counter := newHarness(t, set, 6), fakeCounter{}
+			h, counter := newHarness(t, settings, 6), fakeCounter{}
 			h.receiveEvent(sharedBucketRequest(1, 2*time.Second))
 			end(h, counter, startedAttempts(h.advance(ms, counter.add)))
 			maxTotal := 0.0
--- a/internal/policy/tenant.go
+++ b/internal/policy/tenant.go
@@ -60,10 +60,10 @@
 	return t
 }
 
-// newTenantState returns the state of a tenant that this gateway has not seen lately. It
-// starts with an even share of the quota, or uncoordinatedMultiple times that if it uses the
-// shared bucket. Of the hard limit, it starts without the units that an earlier incarnation
-// may have spent.
+// newTenantState returns the state of a tenant that is new or whose state was dropped. The
+// state starts with an even share of the quota, or uncoordinatedMultiple times that if the
+// tenant uses the shared bucket. Of the hard limit, it starts without the units that an
+// earlier incarnation may have spent.
 func (g *Gateway) newTenantState(ev RequestReceived) *tenantState {
 	plan := &g.settings.Plans[ev.Plan]
 	t := &tenantState{
@@ -124,8 +124,9 @@
 	t.hardLimit.refill(elapsed, t.usesSharedBucket())
 }
 
-// canEvict reports whether the state can be dropped and created anew without loss: no
-// request came lately, no attempt is in flight and the token buckets are full.
+// canEvict reports whether the state can be dropped: at least maxIdleIntervals intervals have
+// ended since the tenant's last request, none of its attempts is in flight, and its token
+// buckets are full, so that dropping the state forgets no units that were spent.
 func (t *tenantState) canEvict() bool {
 	return t.intervalsSinceRequest >= maxIdleIntervals && t.inFlight == 0 &&
 		t.tokens >= t.tokenCapacity()-unitTolerance && t.hardLimit.full(t.usesSharedBucket())
@@ -134,11 +135,11 @@
 // admits reports whether the allocation's tokens, the hard limit and the limit on
 // concurrent attempts have capacity for a request.
 func (t *tenantState) admits(units float64, isRetry bool) bool {
-	needed := units - unitTolerance
+	requiredTokens := units - unitTolerance
 	if isRetry { // new requests have priority: a client's retry has used up part of its latency objective and is often late
-		needed += retryReserve * (t.tokenCapacity() - units)
+		requiredTokens += retryReserve * (t.tokenCapacity() - units)
 	}
-	return (t.plan.Rate == 0 || t.tokens >= needed) && t.withinLimits(units)
+	return (t.plan.Rate == 0 || t.tokens >= requiredTokens) && t.withinLimits(units)
 }
 
 // withinLimits reports whether this gateway's shares of the hard limit and of the limit
