--- a/internal/knownfailures/check.go
+++ b/internal/knownfailures/check.go
@@ -15,8 +15,8 @@
 	run := newTestRun(out)
 	run.read(events)
 	errs := slices.Concat(run.errs, unlistedFailures(run, list), packageFailures(run, list))
-	for _, known := range list {
-		if err := reportKnownFailure(run, known); err != nil {
+	for _, entry := range list {
+		if err := reportKnownFailure(run, entry); err != nil {
 			errs = append(errs, err)
 		}
 	}
@@ -58,22 +58,22 @@
 
 // reportKnownFailure writes the result of a listed test. It returns an error if the test does not
 // exist or was skipped.
-func reportKnownFailure(run *testRun, known knownFailure) error {
+func reportKnownFailure(run *testRun, entry knownFailure) error {
 	var statuses []testStatus // one for each package that has a test of this name
 	for id, status := range run.tests {
-		if id.test == known.test {
+		if id.test == entry.test {
 			statuses = append(statuses, status)
 		}
 	}
 	switch {
 	case len(statuses) == 0:
-		return fmt.Errorf("%s is listed in %s but does not exist", known.test, listFile)
+		return fmt.Errorf("%s is listed in %s but does not exist", entry.test, listFile)
 	case slices.Contains(statuses, skipped):
-		return fmt.Errorf("%s is listed in %s but was skipped", known.test, listFile)
+		return fmt.Errorf("%s is listed in %s but was skipped", entry.test, listFile)
 	case slices.Contains(statuses, failed):
-		fmt.Fprintf(run.out, "known red: %s failed: %s: %s\n", known.test, known.cause, known.issue)
+		fmt.Fprintf(run.out, "known red: %s failed: %s: %s\n", entry.test, entry.cause, entry.issue)
 	default:
-		fmt.Fprintf(run.out, "known red: %s passed: remove it from %s\n", known.test, listFile)
+		fmt.Fprintf(run.out, "known red: %s passed: remove it from %s\n", entry.test, listFile)
 	}
 	return nil
 }
--- a/internal/knownfailures/check_test.go
+++ b/internal/knownfailures/check_test.go
@@ -61,12 +61,12 @@
 		{"a message of the go command", list, "go: no such thing\n" + listedFailed, "no such thing", ""},
 		{"nothing has run", "", "", "no test has run", ""},
 	} {
-		known, err := parseList(c.list)
+		entries, err := parseList(c.list)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var out strings.Builder
-		err = checkRun(known, strings.NewReader(c.events), &out)
+		err = checkRun(entries, strings.NewReader(c.events), &out)
 		if (err == nil) != (c.wantError == "") || err != nil && !strings.Contains(err.Error(), c.wantError) {
 			t.Errorf("%s: error %v, want one with %q", c.name, err, c.wantError)
 		}
--- a/internal/knownfailures/list.go
+++ b/internal/knownfailures/list.go
@@ -30,14 +30,14 @@
 	}
 	var list []knownFailure
 	for i, line := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
-		known, err := parseLine(line)
+		entry, err := parseLine(line)
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w", i+1, err)
 		}
-		if isListed(list, known.test) {
-			return nil, fmt.Errorf("line %d: %s is listed twice", i+1, known.test)
+		if isListed(list, entry.test) {
+			return nil, fmt.Errorf("line %d: %s is listed twice", i+1, entry.test)
 		}
-		list = append(list, known)
+		list = append(list, entry)
 	}
 	if len(list) > maxKnownFailures {
 		return nil, fmt.Errorf("%d tests are listed, want %d at most", len(list), maxKnownFailures)
@@ -59,5 +59,5 @@
 
 // isListed reports whether a test is listed. The list does not distinguish packages.
 func isListed(list []knownFailure, test string) bool {
-	return slices.ContainsFunc(list, func(known knownFailure) bool { return known.test == test })
+	return slices.ContainsFunc(list, func(entry knownFailure) bool { return entry.test == test })
 }
