--- a/internal/edge/handler_test.go
+++ b/internal/edge/handler_test.go
@@ -84,11 +84,11 @@
 		return testsupport.RespondOK(c, req, body)
 	})
 	h := startNode(t, testConfig(t), endpoint.Addr)
-	whole := clientRequest("merge", "00000000000000aa", "X-Expires-In-Ms: 3000", "X-Expires-In-Ms: 4000")
+	requestText := clientRequest("merge", "00000000000000aa", "X-Expires-In-Ms: 3000", "X-Expires-In-Ms: 4000")
 	complete := h.dial()
-	io.WriteString(complete, whole)
+	io.WriteString(complete, requestText)
 	var incomplete []*client
-	for _, text := range []string{"", whole[:60], strings.Replace(whole, "0123456789", "012", 1)} {
+	for _, text := range []string{"", requestText[:60], strings.Replace(requestText, "0123456789", "012", 1)} {
 		c := h.dial()
 		io.WriteString(c, text)
 		incomplete = append(incomplete, c)
